--- a/firwalk/__main__.py
+++ b/firwalk/__main__.py
@@ -17,10 +17,10 @@
 
 import uvloop
 
-from firwalk.log import report
+from firwalk.config.node_config import in_lines, load, read
 from firwalk.net.opening import SHORT_OF_RESOURCES, ToldToStop, patiently
 from firwalk.net.service import Service
-from firwalk.settings import in_lines, load, read
+from firwalk.observability.log import report
 
 RELOAD_PATIENCE_S = 3.0  # in which a file that cannot be opened at SIGHUP is tried again
 AGAIN_S = 0.05
@@ -32,7 +32,7 @@
 
 def _operations(path: str, config: dict):
     """Loaded only where there is such a file: without one nothing of it is in memory."""
-    from firwalk import operations
+    from firwalk.config import operations
 
     told, faults = operations.load(path)
     faults = faults or [f"{path}: {fault}" for fault in operations.misfits(told, config)]
--- a/firwalk/agent/__main__.py
+++ b/firwalk/agent/__main__.py
@@ -15,11 +15,11 @@
 import signal
 import sys
 
-from firwalk.agent import machine
+from firwalk.agent import host_processes
 
 
-async def _run(told: machine.Settings) -> int:
-    made = machine.Machine(told)
+async def _run(told: host_processes.Settings) -> int:
+    made = host_processes.Machine(told)
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, made.stopping.set)
     return await made.run()
@@ -29,7 +29,7 @@
     if len(sys.argv) != 2 or sys.argv[1].startswith("-"):
         print("usage: python -m firwalk.agent AGENT.toml", file=sys.stderr)
         return 2
-    told, faults = machine.load(sys.argv[1])
+    told, faults = host_processes.load(sys.argv[1])
     for fault in faults:
         print(f"firwalk: cannot start: {fault}", file=sys.stderr)
     return 2 if told is None else asyncio.run(_run(told))
--- a/firwalk/agent/machine.py
+++ b/firwalk/agent/host_processes.py
@@ -1,4 +1,7 @@
-"""The agent's machine: processes, their second addresses, files. Decides nothing (`firwalk.agent.keeper`)."""
+"""The agent's machine: processes, their second addresses, files.
+
+Decides nothing: that is `firwalk.agent.supervisor`.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,12 @@
 import psutil
 from msgspec import Meta, Struct
 
-from firwalk import checking, log
-from firwalk.agent.keeper import CONFIRM, HANG, READY, Child, Keeper, Kept, Order, Times
-from firwalk.changes import NAME, Word
-from firwalk.cluster.stages import GOING, HELD
-from firwalk.log import say
+from firwalk.agent.supervisor import CONFIRM, HANG, READY, Child, Keeper, Kept, Order, Times
+from firwalk.cluster.rollout import GOING, HELD
+from firwalk.config import validation
+from firwalk.config.rollout_file import NAME, Word
+from firwalk.observability import log
+from firwalk.observability.log import say
 
 ANSWER = 1.0  # seconds in which a call must be answered
 CHECK_EVERY = 1.0  # seconds between two runs of the operators' check
@@ -38,7 +42,7 @@
     replaced by one of the two `management`; `releases`: each has its own `run`; `release`: the first one;
     `folder`: for sockets and what is kept; `check`: a command of the operators', which says by its exit code
     whether the node answers rightly; `every`: seconds between looks; `events`: all of them as JSON; `ready`,
-    `confirm`, `hang`: seconds, as `firwalk.agent.keeper.Times`."""
+    `confirm`, `hang`: seconds, as `firwalk.agent.supervisor.Times`."""
 
     config: Annotated[str, Meta(min_length=1)]
     releases: Annotated[str, Meta(min_length=1)]
@@ -56,7 +60,7 @@
 
 def load(path: str) -> tuple[Settings | None, list[str]]:
     """The agent's file, checked, and what is wrong, a line each."""
-    told, faults = checking.from_toml(Settings, path)
+    told, faults = validation.from_toml(Settings, path)
     if told is None:
         return None, faults
     folder = Path(path).resolve().parent
--- a/firwalk/broker/contracts.py
+++ b/firwalk/broker/contracts.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from firwalk import checking
+from firwalk.config import validation
 
 MICRO = 1_000_000
 MOST_TEAMS = 60_000
@@ -88,7 +88,7 @@
 
 def load(path: str) -> tuple[Contracts | None, list[str]]:
     """The contracts in the file, and what is wrong with it, a line each."""
-    return checking.from_toml(Contracts, path)
+    return validation.from_toml(Contracts, path)
 
 
 def misfits(contracts: Contracts, settings: dict) -> list[str]:
--- a/firwalk/cli/main.py
+++ b/firwalk/cli/main.py
@@ -54,8 +54,8 @@
     config: Annotated[str | None, typer.Option(help="a node's configuration that it must fit")] = None,
 ) -> None:
     """Tells all that is wrong with an operators' file, a line each."""
-    from firwalk import operations
-    from firwalk.settings import in_lines, load
+    from firwalk.config import operations
+    from firwalk.config.node_config import in_lines, load
 
     told, faults = operations.load(file)
     if config is not None and told is not None:
@@ -116,7 +116,7 @@
 def _contracts(file: str, config: str | None = None):
     """Checked; ends with 2 and a line for each fault."""
     from firwalk.broker import contracts as told
-    from firwalk.settings import in_lines, load
+    from firwalk.config.node_config import in_lines, load
 
     found, faults = told.load(file)
     if found is not None and config is not None:
@@ -163,9 +163,9 @@
 @roll.command("check")
 def check_change(file: Annotated[str, typer.Argument(help="the change's file (TOML)")]) -> None:
     """All that is wrong with a change's file, a line a fault."""
-    from firwalk import changes
+    from firwalk.config import rollout_file
 
-    change, _, faults = changes.load(file)
+    change, _, faults = rollout_file.load(file)
     if change is None:
         _bad(faults)
     print(
--- a/firwalk/cli/picture.py
+++ b/firwalk/cli/picture.py
@@ -11,9 +11,9 @@
 from rich.table import Table
 from rich.text import Text
 
-from firwalk.cluster.comparing import Verdict
-from firwalk.cluster.spans import read as seats
-from firwalk.cluster.stages import BACK, DONE, GOING, HELD, STOPPED
+from firwalk.cluster.canary_analysis import Verdict
+from firwalk.cluster.node_id_ranges import read as seats
+from firwalk.cluster.rollout import BACK, DONE, GOING, HELD, STOPPED
 
 COLOURS = {GOING: "cyan", HELD: "yellow", BACK: "red", STOPPED: "red", DONE: "green"}
 MARKS = {"worse": "red", "fine": "green", "unsure": "yellow"}
--- a/firwalk/cluster/seat.py
+++ b/firwalk/cluster/cluster_member.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from firwalk.cluster import budgets
 from firwalk.cluster import messages as m
-from firwalk.cluster.chance import Chance
-from firwalk.cluster.evidence import views
+from firwalk.cluster import quotas
+from firwalk.cluster.health_observations import views
 from firwalk.cluster.host import Host, State
 from firwalk.cluster.lease import Candidate, Voter
 from firwalk.cluster.members import Members
+from firwalk.cluster.node_id_ranges import spelled
 from firwalk.cluster.plan import Follower, Writer
-from firwalk.cluster.spans import spelled
+from firwalk.cluster.random_source import Chance
 from firwalk.cluster.zones import Terms, Zones
 
 FEW = 400  # seats; with more the reports are spread, so that a coordinator gets so many a second
@@ -44,7 +44,7 @@
         report: float = 0.5,
         hold: float = 3.0,
         zones: Terms | None = None,
-        budgets_by: budgets.Terms | None = None,
+        budgets_by: quotas.Terms | None = None,
     ):
         self.host, self.seat, self.seats, self.life = host, seat, seats, life
         chance = Chance(life ^ seat)
@@ -67,12 +67,12 @@
         self.early: Callable[[], m.Evidence] | None = None  # the same, out of turn
         self.early_at, self.glancing = float("-inf"), False
         self.wished, self.wishes = 0, {}  # operators' wishes that wait for the coordinator
-        self.changing: Any = None  # its part in changes by stages (`firwalk.cluster.changing`)
-        self.holder = budgets.Holder(host, budgets_by, lambda: self.follower.office) if budgets_by else None
-        self.dealer: budgets.Dealer | None = None
-        self.offer: budgets.Offer | None = None  # the newest contracts that this node has
-        self.offers: dict[int, budgets.Offer] = {}  # all that it has, by their checksums
-        self.find_offer: Callable[[int], budgets.Offer | None] = lambda version: None  # by a version's file
+        self.changing: Any = None  # its part in changes by stages (`firwalk.cluster.rollout_controller`)
+        self.holder = quotas.Holder(host, budgets_by, lambda: self.follower.office) if budgets_by else None
+        self.dealer: quotas.Dealer | None = None
+        self.offer: quotas.Offer | None = None  # the newest contracts that this node has
+        self.offers: dict[int, quotas.Offer] = {}  # all that it has, by their checksums
+        self.find_offer: Callable[[int], quotas.Offer | None] = lambda version: None  # by a version's file
         self.ready: dict[int, int] = {}  # by seat: the newest contracts that it has, as it told
         self.waits_for = ""
         self._acts: dict[type, Callable[[float, int, int, Any], None]] = self._by_kind()
@@ -139,7 +139,7 @@
 
     # -- budgets -------------------------------------------------------------------------------------------
 
-    def has_contracts(self, offer: budgets.Offer) -> None:
+    def has_contracts(self, offer: quotas.Offer) -> None:
         """This node has them, and follows them when the plan names them."""
         self.offer = offer
         self.offers[offer.check] = offer
@@ -153,12 +153,12 @@
     def _resume_dealing(self, now: float) -> None:
         """By what the plan says is in force, as soon as this node has all of it."""
         told = self.writer.sections.get("budgets")
-        both = [budgets.in_force(told), budgets.beside(told)]
+        both = [quotas.in_force(told), quotas.beside(told)]
         offers = [self._offered(*one) for one in both if one[1]]
         if offers and all(offer is not None for offer in offers):
             self._deal_by(now, *offers)
 
-    def _offered(self, version: int, check: int) -> budgets.Offer | None:
+    def _offered(self, version: int, check: int) -> quotas.Offer | None:
         """Those contracts, if this node has them, or finds them among the files of changes."""
         found = self.offers.get(check) or self.find_offer(version)
         if found is not None and found.check == check:
@@ -166,10 +166,10 @@
             return found
         return None
 
-    def _deal_by(self, now: float, offer: budgets.Offer, beside: budgets.Offer | None = None) -> None:
+    def _deal_by(self, now: float, offer: quotas.Offer, beside: quotas.Offer | None = None) -> None:
         """These are in force: what was dealt by others in this office goes on counting."""
         if self.dealer is None:
-            self.dealer = budgets.Dealer(now, self.holder.terms, offer, self._may_hold, beside)
+            self.dealer = quotas.Dealer(now, self.holder.terms, offer, self._may_hold, beside)
         else:
             self.dealer.changed(now, offer, beside)
         for one in self.dealer.sides.values():
@@ -189,7 +189,7 @@
         staged = self._staged(now)
         if staged is not None:
             return staged
-        version, check = budgets.in_force(self.writer.sections.get("budgets"))
+        version, check = quotas.in_force(self.writer.sections.get("budgets"))
         offer = self.offer
         if offer is not None and offer.check != check and offer.version > version and offer.begun():
             without = [seat for seat in up if self.ready.get(seat) != offer.check]
@@ -209,30 +209,28 @@
         if change is None:
             return None
         told = self.writer.sections.get("budgets")
-        (before, brings, over), (other, named) = change, budgets.beside(told)
+        (before, brings, over), (other, named) = change, quotas.beside(told)
         if over and not named:
             return None
         wanted = [brings] if over == "done" else [before] if over else [before, brings]
-        if [budgets.in_force(told)[0], *([other] if named else [])] == wanted:
+        if [quotas.in_force(told)[0], *([other] if named else [])] == wanted:
             if self.dealer is None:
                 self._resume_dealing(now)
             return {}
         offers = [self._of_version(version) for version in wanted]
         return self._change(now, *offers) if all(offers) else {}
 
-    def _of_version(self, version: int) -> budgets.Offer | None:
+    def _of_version(self, version: int) -> quotas.Offer | None:
         known = [offer for offer in self.offers.values() if offer.version == version]
         return known[-1] if known else self.find_offer(version)
 
-    def _change(
-        self, now: float, offer: budgets.Offer, beside: budgets.Offer | None = None
-    ) -> dict[str, Any]:
+    def _change(self, now: float, offer: quotas.Offer, beside: quotas.Offer | None = None) -> dict[str, Any]:
         self.waits_for = ""
         for one in (offer, beside):
             if one is not None:
                 self.offers[one.check] = one
         self._deal_by(now, offer, beside)
-        return {"budgets": budgets.section(offer, beside)}
+        return {"budgets": quotas.section(offer, beside)}
 
     def _want_came(self, now: float, seat: int, life: int, got: m.Want) -> None:
         if self.holder is None or not self.writer.in_office(now):
--- a/firwalk/cluster/lease.py
+++ b/firwalk/cluster/lease.py
@@ -11,9 +11,9 @@
 
 from collections.abc import Callable
 
-from firwalk.cluster.chance import Chance
 from firwalk.cluster.host import Host
 from firwalk.cluster.messages import NOBODY, Accept, Ballot, Prepare, Promise, Propose, Refuse, Release
+from firwalk.cluster.random_source import Chance
 
 RENEWALS = 3  # in one length
 TURN = 0.1  # of a length: how far the first tries after a lease's end are spread
--- a/firwalk/cluster/members.py
+++ b/firwalk/cluster/members.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from math import ceil, log, log10
 
-from firwalk.cluster.chance import Chance
 from firwalk.cluster.host import Host, State
 from firwalk.cluster.messages import MOST_NEWS, NOBODY, Ack, Ask, Ballot, Nack, News, Ping
+from firwalk.cluster.random_source import Chance
 
 HELPERS = 3  # others that are asked to ask one that does not answer
 SUSPECT_TIMES = 4.0  # periods, times the logarithm of the fleet, that a suspected one has at least
--- a/firwalk/cluster/plan.py
+++ b/firwalk/cluster/plan.py
@@ -16,10 +16,10 @@
 
 import msgspec
 
-from firwalk.cluster.chance import Chance
 from firwalk.cluster.host import Host
 from firwalk.cluster.lease import MOST_AHEAD, Candidate
 from firwalk.cluster.messages import MOST_PIECES, NOBODY, PIECE, Answer, Ballot, Fetch, Piece, Report
+from firwalk.cluster.random_source import Chance
 
 Stamp = tuple[Ballot, int]
 NONE: Stamp = (NOBODY, 0)
--- a/firwalk/cluster/steering.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -1,7 +1,8 @@
 """What a node does by the plan: which zone a task calls its own, which tasks are turned away at once, and
 what of budgets they cost.
 
-No I/O, and little is decided here that the plan does not say. Acts on a desk (`firwalk.facade.Desk`), which
+No I/O, and little is decided here that the plan does not say. Acts on a desk
+(`firwalk.dispatcher.dispatcher.Desk`), which
 is handed in. Work is in seconds at speed 1.
 """
 
@@ -9,9 +10,9 @@
 
 from typing import Any, Protocol
 
-from firwalk.cluster.evidence import Watch
+from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.health_observations import Watch
 from firwalk.cluster.messages import Evidence
-from firwalk.cluster.seat import Seat
 from firwalk.cluster.zones import Mode, followed
 
 MIX = 200.0  # tasks over which the mix is remembered
@@ -57,7 +58,7 @@
 
 class Steering:
     """One life of a seat and its node's decisions. `zone`: the node's own, of so many `zones`, 0: that part
-    is off; `spending`: the part for budgets, if it is on (`firwalk.cluster.spending`)."""
+    is off; `spending`: the part for budgets, if it is on (`firwalk.cluster.quota_accounting`)."""
 
     def __init__(self, seat: Seat, desk: Steered, zone: int, zones: int, now: float, spending: Any = None):
         self.seat, self.desk, self.zone, self.zones, self.spending = seat, desk, zone, zones, spending
--- a/firwalk/cluster/spending.py
+++ b/firwalk/cluster/quota_accounting.py
@@ -10,9 +10,9 @@
 
 from firwalk.broker.contracts import Contracts
 from firwalk.broker.ledger import Ledger, Reservation
-from firwalk.cluster.budgets import Offer, beside, in_force
-from firwalk.cluster.seat import Seat
-from firwalk.cluster.spans import read
+from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.node_id_ranges import read
+from firwalk.cluster.quotas import Offer, beside, in_force
 
 KEPT = 4  # contracts that a node keeps: those in force, and what may come after
 DAY = 86400.0
--- a/firwalk/cluster/stages.py
+++ b/firwalk/cluster/rollout.py
@@ -14,9 +14,9 @@
 from typing import Any, Protocol
 from zlib import crc32
 
-from firwalk.cluster.comparing import ALL, Comparison, Key, Pasts, Row, Verdict, Worse
+from firwalk.cluster.canary_analysis import ALL, Comparison, Key, Pasts, Row, Verdict, Worse
 from firwalk.cluster.messages import Figures
-from firwalk.cluster.spans import read, spelled
+from firwalk.cluster.node_id_ranges import read, spelled
 
 KEYS = (
     "number",
@@ -49,7 +49,7 @@
 
 
 class Wanted(Protocol):
-    """An operator's file (`firwalk.changes.Change`)."""
+    """An operator's file (`firwalk.config.rollout_file.Change`)."""
 
     before: str
     stages: list[Any]
--- a/firwalk/cluster/changing.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -1,7 +1,7 @@
 """A node's part in changes by stages: what it counts of its tasks, what it tells, and which version it is to
 run by the plan that it follows.
 
-No I/O. Acts on a desk (`firwalk.facade.Desk`), which is handed in. Times are seconds.
+No I/O. Acts on a desk (`firwalk.dispatcher.dispatcher.Desk`), which is handed in. Times are seconds.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from zlib import crc32
 
 from firwalk.cluster import messages as m
-from firwalk.cluster.comparing import Row
-from firwalk.cluster.spans import read
-from firwalk.cluster.stages import BACK, CONTRACTS, DONE, GOING, HELD, STOPPED, Roll, Terms
+from firwalk.cluster.canary_analysis import Row
+from firwalk.cluster.node_id_ranges import read
+from firwalk.cluster.rollout import BACK, CONTRACTS, DONE, GOING, HELD, STOPPED, Roll, Terms
 
 SELDOM = 10  # reports between two tellings while nothing is changed
 MILLI = 1e3
--- a/firwalk/settings.py
+++ b/firwalk/config/node_config.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from firwalk.host import Effect, Group, Host
-from firwalk.logic import Node, Offering, Tenant
+from firwalk.policy.interface import Effect, Group, Host
+from firwalk.policy.policy import Node, Offering, Tenant
 
 MICRO = 1e-6
 ZONES = 2  # of the new shape of deployment
--- a/firwalk/operations.py
+++ b/firwalk/config/operations.py
@@ -10,9 +10,9 @@
 
 from msgspec import Meta, Struct, structs
 
-from firwalk import checking
 from firwalk.cluster.messages import MOST_ZONES
 from firwalk.cluster.zones import Terms
+from firwalk.config import validation
 
 Span = Annotated[float, Meta(gt=0, le=600)]  # seconds
 Seats = list[Annotated[int, Meta(ge=0, le=65535)]]
@@ -147,7 +147,7 @@
 
 def load(path: str) -> tuple[Operations | None, list[str]]:
     """The file, checked, and what is wrong with it, a line each. Files that it names lie beside it."""
-    told, faults = checking.from_toml(Operations, path)
+    told, faults = validation.from_toml(Operations, path)
     folder = os.path.dirname(os.path.abspath(path))
     if told is not None and told.budgets is not None:
         contracts = os.path.join(folder, told.budgets.contracts)
--- a/firwalk/changes.py
+++ b/firwalk/config/rollout_file.py
@@ -12,8 +12,8 @@
 
 from msgspec import Meta, Struct, field
 
-from firwalk import checking
-from firwalk.cluster.comparing import Worse
+from firwalk.cluster.canary_analysis import Worse
+from firwalk.config import validation
 
 NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,39}$")
 VERSION = r"^[1-9][0-9]{0,8}$"
@@ -24,7 +24,7 @@
 
 class Compare(Struct, frozen=True):
     """`seconds`: that a stage takes at least; `most`: after which it is held if it cannot be told. The rest:
-    `firwalk.cluster.comparing.Worse`; `memory`: times that of the old nodes."""
+    `firwalk.cluster.canary_analysis.Worse`; `memory`: times that of the old nodes."""
 
     seconds: Annotated[float, Meta(ge=0, le=86400)] = 10.0
     most: Annotated[float, Meta(gt=0, le=604800)] = 300.0
@@ -111,7 +111,7 @@
             text = file.read()
     except OSError as problem:
         return None, 0, [f"{path}: {problem.strerror or problem}"]
-    change, faults = checking.from_text(Change, text, path)
+    change, faults = validation.from_text(Change, text, path)
     if change is not None and change.contracts:
         beside = contracts_file(os.path.dirname(path), int(change.contracts))
         told, faults = brought(beside)
--- a/firwalk/facade.py
+++ b/firwalk/dispatcher/dispatcher.py
@@ -15,14 +15,14 @@
 from typing import Any
 from zlib import crc32
 
-from firwalk import hearsay
-from firwalk.events import EventLog, Refusal
-from firwalk.host import Condition, Effect, Outcome
-from firwalk.log import must
-from firwalk.logic import Assignment, Executor, Task
-from firwalk.maintenance import Maintenance
-from firwalk.monitor import Monitor, RequestRecord
-from firwalk.settings import REPORT_WORDS, build_node, retune
+from firwalk.config.node_config import REPORT_WORDS, build_node, retune
+from firwalk.dispatcher import failure_gossip
+from firwalk.dispatcher.maintenance import Maintenance
+from firwalk.observability.events import EventLog, Refusal
+from firwalk.observability.log import must
+from firwalk.observability.monitor import Monitor, RequestRecord
+from firwalk.policy.interface import Condition, Effect, Outcome
+from firwalk.policy.policy import Assignment, Executor, Task
 
 WAY_BACK = 0.02  # seconds kept for an answer's way to the client: at its expiry it would be too late
 FOR_GOOD = float("inf")  # until it is said otherwise
@@ -109,7 +109,7 @@
         self.maintenance = Maintenance()
         self.entries: dict[str, tuple] = {}  # the list as it was told last
         self.list_at = 0.0  # when a list came last
-        self.marks = hearsay.Marks()
+        self.marks = failure_gossip.Marks()
         self.seen: Any = None  # counts what is met in each zone, where the fleet decides on zones
         self.tally: Any = None  # counts final answers, where changes go by stages
         self.terms_of: Callable[[Task], float] | None = None  # what is decided in common on a task
@@ -584,7 +584,7 @@
         heappush(self.timers, (when, self.label, act, about))
 
     def warn_peers(self, executor: Executor) -> None:
-        self.chores.append((Chore.TELL, hearsay.mark_of(executor.ref.name.encode())))
+        self.chores.append((Chore.TELL, failure_gossip.mark_of(executor.ref.name.encode())))
 
     def watch(self, on: bool) -> None:
         self.chores.append((Chore.WATCH, on))
--- a/firwalk/maintenance.py
+++ b/firwalk/dispatcher/maintenance.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from firwalk.host import Condition
+from firwalk.policy.interface import Condition
 
 
 class Maintenance:
--- a/firwalk/moving.py
+++ b/firwalk/dispatcher/request_handover.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
-from firwalk.facade import WAY_BACK, Desk, Errand
-from firwalk.host import Condition, Effect, Group
-from firwalk.logic import Assignment, Executor, Offering, Task
+from firwalk.dispatcher.dispatcher import WAY_BACK, Desk, Errand
+from firwalk.policy.interface import Condition, Effect, Group
+from firwalk.policy.policy import Assignment, Executor, Offering, Task
 
 TASK = ("hint", "cost", "slots", "draw", "value", "most", "bound")
 TERMS = ("due", "expiry", "importance", "effect", "group", "remembered", "stretch", "kind")
--- a/firwalk/lab/fleet.py
+++ b/firwalk/lab/fleet.py
@@ -14,16 +14,16 @@
 from math import exp
 from typing import Any
 
-from firwalk.cluster.seat import Seat
-from firwalk.cluster.steering import Steering
+from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.plan_enforcement import Steering
 from firwalk.cluster.zones import Terms
-from firwalk.facade import Chore, Desk, Errand, Place, Step
-from firwalk.host import Condition, Outcome
+from firwalk.dispatcher.dispatcher import Chore, Desk, Errand, Place, Step
 from firwalk.lab.invariants import Judge
 from firwalk.lab.scenario import Fault, Offering, Scenario, endpoints, settings, zone_name
 from firwalk.lab.schedules import Watch
 from firwalk.lab.virtual import Fault as WorldFault
 from firwalk.lab.virtual import Process, Schedule, World
+from firwalk.policy.interface import Condition, Outcome
 
 NEAR, FAR = 0.0005, 0.002  # seconds one way within a zone and between zones
 CONNECT = 0.25  # seconds after which a connection that does not come up is given up
--- a/firwalk/lab/invariants.py
+++ b/firwalk/lab/invariants.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from firwalk.cluster.spans import read
+from firwalk.cluster.node_id_ranges import read
 
 
 @dataclass
--- a/firwalk/lab/processes.py
+++ b/firwalk/lab/processes.py
@@ -19,7 +19,7 @@
 import orjson
 import psutil
 
-from firwalk.agent import machine
+from firwalk.agent import host_processes
 from firwalk.lab import seam
 
 PR_SET_PDEATHSIG = 1
@@ -257,7 +257,7 @@
         """One call to its second addresses: the first that does not say that another one speaks for it."""
         said = "no answer"
         for at in self.agent["management"] if self.agent else [self.config["management"]]:
-            answer = await machine.call(at, line, CALL_TIME)
+            answer = await host_processes.call(at, line, CALL_TIME)
             if answer is None:
                 continue
             if "another process speaks" not in answer:
--- a/firwalk/lab/purses.py
+++ b/firwalk/lab/purses.py
@@ -13,11 +13,11 @@
 
 from firwalk.broker.contracts import Contracts, Team
 from firwalk.broker.ledger import Reservation
-from firwalk.cluster.budgets import Terms
-from firwalk.cluster.seat import Seat
-from firwalk.cluster.spans import spelled
-from firwalk.cluster.spending import Spending
-from firwalk.cluster.stages import BACK, CONTRACTS, DONE, GOING, STOPPED
+from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.node_id_ranges import spelled
+from firwalk.cluster.quota_accounting import Spending
+from firwalk.cluster.quotas import Terms
+from firwalk.cluster.rollout import BACK, CONTRACTS, DONE, GOING, STOPPED
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch, drawn
 from firwalk.lab.virtual import Process, Schedule, World
--- a/firwalk/lab/rolls.py
+++ b/firwalk/lab/rolls.py
@@ -12,11 +12,11 @@
 
 from msgspec.structs import replace
 
-from firwalk.changes import Change, Compare
-from firwalk.cluster.changing import Changing, Tally
-from firwalk.cluster.comparing import Comparison, Verdict
-from firwalk.cluster.seat import Seat
-from firwalk.cluster.stages import DONE, STOPPED, Terms
+from firwalk.cluster.canary_analysis import Comparison, Verdict
+from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.rollout import DONE, STOPPED, Terms
+from firwalk.cluster.rollout_controller import Changing, Tally
+from firwalk.config.rollout_file import Change, Compare
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch
 from firwalk.lab.virtual import Fault, Process, Schedule, World
@@ -161,7 +161,8 @@
                 tally.finished(offering, 1, took, took > DUE)
 
     def _agent(self, seat: int, process: Process) -> None:
-        """As `firwalk.agent.keeper` does it, in short: a version that does not come up is told and left."""
+        """As `firwalk.agent.supervisor` does it, in short: a version that does not come up is told and
+        left."""
         words = self.made[seat].wanted(process.clock()).split()
         if seat in self.switching or len(words) != 4 or words[2] == self.on[seat][0]:
             return
--- a/firwalk/lab/scenario.py
+++ b/firwalk/lab/scenario.py
@@ -7,8 +7,8 @@
 
 from msgspec import Meta, Struct, field
 
-from firwalk import checking
 from firwalk.cluster.messages import Message
+from firwalk.config import validation
 from firwalk.lab.deployment import common_settings
 
 SHIPPED = Path(__file__).parents[2] / "lab" / "scenarios"
@@ -231,7 +231,7 @@
     known = SHIPPED / f"{path}.toml"
     if not Path(path).exists() and known.exists():
         path = str(known)
-    scenario, faults = checking.from_toml(Scenario, path)
+    scenario, faults = validation.from_toml(Scenario, path)
     if scenario is not None:
         faults = [f"{path}: {fault}" for fault in _misfits(scenario)]
     return (None if faults else scenario), faults
--- a/firwalk/lab/schedules.py
+++ b/firwalk/lab/schedules.py
@@ -10,8 +10,8 @@
 from dataclasses import replace
 from multiprocessing import Pool
 
+from firwalk.cluster.cluster_member import Seat
 from firwalk.cluster.messages import Answer
-from firwalk.cluster.seat import Seat
 from firwalk.lab.invariants import Judge
 from firwalk.lab.virtual import Fault, Process, Schedule, World
 
--- a/firwalk/lab/sharing.py
+++ b/firwalk/lab/sharing.py
@@ -12,7 +12,7 @@
 
 from firwalk.broker.contracts import Contracts, Team
 from firwalk.broker.ledger import Reservation
-from firwalk.cluster.budgets import Terms
+from firwalk.cluster.quotas import Terms
 from firwalk.lab import purses
 from firwalk.lab.virtual import Fault, Process, Schedule
 
--- a/firwalk/lab/versions.py
+++ b/firwalk/lab/versions.py
@@ -40,19 +40,19 @@
 
 def _outcomes(change) -> None:
     """`change(desk, errand, how, again)` sees each outcome; `again(how)` reports it."""
-    from firwalk import facade
+    from firwalk.dispatcher import dispatcher
 
-    real = facade.Desk.report_outcome
+    real = dispatcher.Desk.report_outcome
 
     def report(self, errand, number, how, load=None, result=b""):
         change(self, errand, how, lambda how: real(self, errand, number, how, load, result))
 
-    facade.Desk.report_outcome = report
+    dispatcher.Desk.report_outcome = report
 
 
 def errors() -> None:
     """Takes three in ten answers for errors."""
-    from firwalk.host import Outcome
+    from firwalk.policy.interface import Outcome
 
     chance = random.Random(os.getpid())
 
@@ -67,7 +67,7 @@
     """Passes answers on late, by three tenths of what they took."""
     import asyncio
 
-    from firwalk.host import Outcome
+    from firwalk.policy.interface import Outcome
 
     def change(desk, errand, how, again):
         if how is not Outcome.FINISHED:
@@ -81,7 +81,7 @@
 
 def wrong() -> None:
     """Takes all answers to one offering, the last by name, for errors."""
-    from firwalk.host import Outcome
+    from firwalk.policy.interface import Outcome
 
     def change(desk, errand, how, again):
         mine = errand.about[0] == max(desk.offerings)
@@ -164,9 +164,9 @@
 
 def drops_what_is_handed_over() -> None:
     """Ends at the first task that comes over from the process before."""
-    from firwalk.net import succession
+    from firwalk.net import hot_restart
 
-    succession.Succession._resume = lambda self, *about: os._exit(5)
+    hot_restart.Succession._resume = lambda self, *about: os._exit(5)
 
 
 def _number() -> str:
--- a/firwalk/lab/virtual.py
+++ b/firwalk/lab/virtual.py
@@ -1,6 +1,7 @@
 """The cluster's own code in virtual time: seats on a network and on clocks with faults, all chance by a seed.
 
-A heap of events drives `firwalk.cluster.seat.Seat`; equal times go in the order of their making, so a run
+A heap of events drives `firwalk.cluster.cluster_member.Seat`; equal times go in the order of their
+making, so a run
 repeats exactly. The network loses, delays, doubles and reorders; links are cut one way; processes pause, die
 and start from nothing; clocks run at different speeds. Times are seconds of the world's clock.
 """
@@ -14,8 +15,8 @@
 from typing import Any
 
 from firwalk.cluster import messages as m
+from firwalk.cluster.cluster_member import Seat
 from firwalk.cluster.host import State
-from firwalk.cluster.seat import Seat
 
 MOST_HELD = 200  # datagrams that the machine keeps for a process that sleeps
 
--- a/firwalk/migrate.py
+++ b/firwalk/migrate.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from firwalk.settings import ZONES, check, in_short, load
+from firwalk.config.node_config import ZONES, check, in_short, load
 
 # Setting, its value in the new shape, and why.
 NEW_SHAPE = (
--- a/firwalk/net/budget.py
+++ b/firwalk/net/budget.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable
 
-from firwalk.log import must
+from firwalk.observability.log import must
 
 BASE = 20  # listener, list, peers, event loop, standard streams
 SPARE_PART = 0.125  # of the rest: for clients that are told 503
--- a/firwalk/net/buffers.py
+++ b/firwalk/net/buffers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firwalk.log import must
+from firwalk.observability.log import must
 
 SIZE = 8192
 
--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -11,10 +11,7 @@
 from itertools import islice
 from time import monotonic
 
-from firwalk.events import CloseReason, Event, EventLog, Refusal
-from firwalk.facade import Desk, Errand, Step
-from firwalk.log import must, say, trouble
-from firwalk.monitor import Monitor, Rule
+from firwalk.dispatcher.dispatcher import Desk, Errand, Step
 from firwalk.net import fields, http
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
@@ -22,6 +19,9 @@
 from firwalk.net.executors import Executors
 from firwalk.net.stalls import Stalls
 from firwalk.net.waiting import hung_up, readable, received
+from firwalk.observability.events import CloseReason, Event, EventLog, Refusal
+from firwalk.observability.log import must, say, trouble
+from firwalk.observability.monitor import Monitor, Rule
 
 HEALTH = b"/_health"
 READ_TIME = 2.0  # seconds in which a message must be whole, the first one counted from the connect
--- a/firwalk/net/cluster.py
+++ b/firwalk/net/cluster.py
@@ -16,14 +16,14 @@
 
 import orjson
 
-from firwalk import log
 from firwalk.cluster import messages
-from firwalk.cluster.seat import Seat
-from firwalk.cluster.steering import Steering
+from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.plan_enforcement import Steering
 from firwalk.cluster.zones import REGION, Mode
-from firwalk.facade import Desk
-from firwalk.log import say, trouble
-from firwalk.operations import LIVE, Operations
+from firwalk.config.operations import LIVE, Operations
+from firwalk.dispatcher.dispatcher import Desk
+from firwalk.observability import log
+from firwalk.observability.log import say, trouble
 
 VOTER_SILENT = 1.5  # lengths of the lease for which a voter that began must have told, before others go
 EARLY = 0.0005  # seconds by which a timer of the loop may be early on the clock
@@ -213,10 +213,10 @@
 
     async def _of_file(self, word: str, rest: str) -> tuple[str, str]:
         """Checked here first: a fault in the file is told without the coordinator."""
-        from firwalk import changes
+        from firwalk.config import rollout_file
 
         name, _, page = rest.partition(" ")
-        change, check, faults = changes.named(self.operations.stages.changes, name)
+        change, check, faults = rollout_file.named(self.operations.stages.changes, name)
         if change is None:
             return "", "; ".join(faults)
         return await self._word(word, name, check, page)
@@ -320,9 +320,9 @@
 
 def _changing(cluster: Cluster, told: Operations) -> Any:
     """Imported only where there is the part."""
-    from firwalk import changes
-    from firwalk.cluster.changing import Changing, Tally
-    from firwalk.cluster.stages import Terms
+    from firwalk.cluster.rollout import Terms
+    from firwalk.cluster.rollout_controller import Changing, Tally
+    from firwalk.config import rollout_file
 
     cluster.desk.tally = Tally()
     settle = max(told.stages.settle, VOTER_SILENT * told.lease.length)
@@ -335,7 +335,7 @@
         cluster.zone,
         _memory,
         terms,
-        partial(changes.named, told.stages.changes),
+        partial(rollout_file.named, told.stages.changes),
     )
 
 
@@ -349,7 +349,7 @@
     """Imported only where there is the part."""
     if told.budgets is None:
         return None
-    from firwalk.cluster.budgets import Terms
+    from firwalk.cluster.quotas import Terms
 
     return Terms(told.budgets.length, told.lease.drift, told.budgets.floor)
 
@@ -357,7 +357,7 @@
 def _spending(told: Operations, seat: Seat) -> Any:
     if told.budgets is None:
         return None
-    from firwalk.cluster.spending import Spending
+    from firwalk.cluster.quota_accounting import Spending
 
     made = Spending(seat, time.monotonic, time.time, partial(_brought, told) if told.stages else _none)
     _read_contracts(told, made)
@@ -370,10 +370,10 @@
 
 def _brought(told: Operations, version: int) -> Any:
     """Contracts of a change, by their file in the folder of changes."""
-    from firwalk import changes
+    from firwalk.config import rollout_file
 
-    path = changes.contracts_file(told.stages.changes, version)
-    found, faults = changes.brought(path)
+    path = rollout_file.contracts_file(told.stages.changes, version)
+    found, faults = rollout_file.brought(path)
     for fault in faults if os.path.exists(path) else ():
         say(f"contracts of a change: {fault}")
     return found
--- a/firwalk/net/handover.py
+++ b/firwalk/net/control_channel.py
@@ -1,7 +1,8 @@
 """Two processes as one node, while one replaces the other: `docs/in-service.md` tells the order of things.
 
 They talk over a Unix socket in `$TMPDIR`, a JSON object a line, descriptors beside the line that names them.
-Nothing is decided here: who accepts follows from one message, who is out is kept by `firwalk.maintenance`.
+Nothing is decided here: who accepts follows from one message, who is out is kept by
+`firwalk.dispatcher.maintenance`.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 import orjson
 
-from firwalk.log import say, trouble
 from firwalk.net.errors import Pause
 from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
 from firwalk.net.opening import SHORT_OF_RESOURCES
 from firwalk.net.waiting import readable
+from firwalk.observability.log import say, trouble
 
 VERSION = 1
 ANSWER_TIME = 2.0  # seconds in which the one before must answer, or it hangs
--- a/firwalk/net/discovery.py
+++ b/firwalk/net/discovery.py
@@ -8,16 +8,16 @@
 
 import orjson
 
-from firwalk.facade import Desk
-from firwalk.log import say, trouble
+from firwalk.dispatcher.dispatcher import Desk
 from firwalk.net import http, listing
 from firwalk.net.address import host_header, new_socket
 from firwalk.net.buffers import Buffers
 from firwalk.net.waiting import connected
+from firwalk.observability.log import say, trouble
 
 # What discovery has to tell counts as known six seconds later, whatever failed before. A watch that falls
 # silent, the pause before the next call, its connect and its answer must fit in that time together, and so
-# must a call that hangs, the pause and the call after it: the longest pauses are in `firwalk.logic`.
+# must a call that hangs, the pause and the call after it: the longest pauses are in `firwalk.policy.policy`.
 CONNECT_TIME = 0.4  # seconds
 SILENCE = 2.4  # seconds without a whole line (one comes every two) after which a watch has ended
 CALL_TIME = 2.2  # seconds from the request to a whole first list, of a watch and of a single call: one
--- a/firwalk/net/executors.py
+++ b/firwalk/net/executors.py
@@ -16,15 +16,15 @@
 
 import orjson
 
-from firwalk.events import CloseReason, Event, EventLog
-from firwalk.facade import Desk, Errand, Place
-from firwalk.host import Outcome
-from firwalk.log import must, say, trouble
+from firwalk.dispatcher.dispatcher import Desk, Errand, Place
 from firwalk.net import http
 from firwalk.net.address import host_header, new_socket
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.waiting import connected, received
+from firwalk.observability.events import CloseReason, Event, EventLog
+from firwalk.observability.log import must, say, trouble
+from firwalk.policy.interface import Outcome
 
 WAIT = 0.01  # seconds between looks for a free descriptor
 HOLD_TRIPS = 2.0  # times the shortest way to an executor and back that a last byte is held back
--- a/firwalk/net/stopping.py
+++ b/firwalk/net/graceful_shutdown.py
@@ -12,18 +12,18 @@
 from time import monotonic
 from typing import TYPE_CHECKING, Protocol
 
-from firwalk.events import Event, State
-from firwalk.log import report
 from firwalk.net.errors import concerns_connection
 from firwalk.net.filters import SO_ATTACH_FILTER, always_return
+from firwalk.observability.events import Event, State
+from firwalk.observability.log import report
 from firwalk.stop_plan import NEW_CONNECTIONS_S, Deadlines, StopPlan
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from firwalk.facade import Desk
+    from firwalk.dispatcher.dispatcher import Desk
     from firwalk.net.clients import Clients
-    from firwalk.net.succession import Succession
+    from firwalk.net.hot_restart import Succession
 
 LOOK_S = 0.01  # between looks whether anything is still owed
 QUIET_S = 0.1  # without a new connection after which none is expected any more
--- a/firwalk/net/succession.py
+++ b/firwalk/net/hot_restart.py
@@ -1,4 +1,4 @@
-"""What the two processes of one node do for each other, on both sides: see `firwalk.net.handover`."""
+"""What the two processes of one node do for each other, on both sides: see `firwalk.net.control_channel`."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from time import monotonic
 from typing import TYPE_CHECKING, Protocol
 
-from firwalk.events import CloseReason
-from firwalk.host import Condition
-from firwalk.log import say, trouble
-from firwalk.moving import packed, unpacked
-from firwalk.net.handover import VERSION, Broken, Line, Meeting, hello
+from firwalk.dispatcher.request_handover import packed, unpacked
+from firwalk.net.control_channel import VERSION, Broken, Line, Meeting, hello
+from firwalk.observability.events import CloseReason
+from firwalk.observability.log import say, trouble
+from firwalk.policy.interface import Condition
 
 if TYPE_CHECKING:
-    from firwalk.facade import Desk
+    from firwalk.dispatcher.dispatcher import Desk
     from firwalk.net.budget import Budget
     from firwalk.net.clients import Client, Clients
     from firwalk.net.executors import Executors
--- a/firwalk/net/listing.py
+++ b/firwalk/net/listing.py
@@ -11,10 +11,10 @@
 
 import orjson
 
-from firwalk.host import Condition
-from firwalk.log import say
 from firwalk.net import http
 from firwalk.net.address import parse
+from firwalk.observability.log import say
+from firwalk.policy.interface import Condition
 
 LIFECYCLES = {"active": Condition.READY, "leaving": Condition.DRAINING, "left": Condition.GONE}
 ADDRESSES_KEPT = 8192  # of all that were read
--- a/firwalk/net/management.py
+++ b/firwalk/net/management.py
@@ -11,9 +11,9 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from firwalk.log import say, trouble
 from firwalk.net.address import new_socket
 from firwalk.net.errors import Pause, concerns_connection
+from firwalk.observability.log import say, trouble
 
 SILENT_TIME = 5.0  # seconds in which a call must be whole
 LONGEST = 256  # bytes of a call
--- a/firwalk/net/peers.py
+++ b/firwalk/net/peers.py
@@ -5,10 +5,10 @@
 import asyncio
 import socket
 
-from firwalk.facade import Desk
-from firwalk.hearsay import SIZE
-from firwalk.log import say
+from firwalk.dispatcher.dispatcher import Desk
+from firwalk.dispatcher.failure_gossip import SIZE
 from firwalk.net.address import new_socket
+from firwalk.observability.log import say
 
 LONGEST = 256  # bytes of a datagram
 
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -9,23 +9,23 @@
 from math import inf
 from time import monotonic, time
 
-from firwalk.events import Event, State
-from firwalk.facade import Chore, Desk
-from firwalk.log import report, say, trouble
+from firwalk.config.node_config import check_news, longest_deadline, needs_restart
+from firwalk.dispatcher.dispatcher import Chore, Desk
 from firwalk.net import discovery, listing
 from firwalk.net.address import new_socket, parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import Clients
+from firwalk.net.control_channel import steer
 from firwalk.net.executors import Executors
-from firwalk.net.handover import steer
+from firwalk.net.graceful_shutdown import Stop
+from firwalk.net.hot_restart import Succession
 from firwalk.net.management import Management, places
 from firwalk.net.opening import ADDRESS_TAKEN, SHORT_OF_RESOURCES, ToldToStop, patiently
 from firwalk.net.peers import Peers
-from firwalk.net.stopping import Stop
-from firwalk.net.succession import Succession
 from firwalk.net.turns import Turns
-from firwalk.settings import check_news, longest_deadline, needs_restart
+from firwalk.observability.events import Event, State
+from firwalk.observability.log import report, say, trouble
 from firwalk.stop_plan import Deadlines
 
 BACKLOG = 1024
--- a/firwalk/monitor.py
+++ b/firwalk/observability/monitor.py
@@ -12,12 +12,12 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from firwalk.events import Event, EventLog
-from firwalk.host import Effect, Group, Outcome
-from firwalk.log import report
+from firwalk.observability.events import Event, EventLog
+from firwalk.observability.log import report
+from firwalk.policy.interface import Effect, Group, Outcome
 
 if TYPE_CHECKING:
-    from firwalk.logic import Assignment, Task
+    from firwalk.policy.policy import Assignment, Task
 
 LATE_S = 0.5  # past its deadline at which an answer counts as none
 NEVER_RAN = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
--- a/firwalk/candidates.py
+++ b/firwalk/policy/candidates.py
@@ -16,10 +16,10 @@
 from itertools import chain, islice
 from typing import TYPE_CHECKING
 
-from firwalk.host import Condition
+from firwalk.policy.interface import Condition
 
 if TYPE_CHECKING:
-    from firwalk.logic import Executor
+    from firwalk.policy.policy import Executor
 
 LARGE = 256  # executors up to which a choice looks at all
 NEAR_LOOKS, FAR_LOOKS = 96, 32  # of those without own work or connections, in the own zone and in others
--- a/firwalk/host.py
+++ b/firwalk/policy/interface.py
@@ -1,6 +1,7 @@
 """What the decision module needs from whoever runs it, and the plain words both sides share.
 
-A host turns its own protocol into calls of `firwalk.logic.Node` and carries out what the node asks of it
+A host turns its own protocol into calls of `firwalk.policy.policy.Node` and carries out what the node
+asks of it
 through this interface. Nothing here decides anything. Times are seconds as floats, on the host's clock.
 """
 
@@ -11,7 +12,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 if TYPE_CHECKING:
-    from firwalk.logic import Assignment, Executor, Task
+    from firwalk.policy.policy import Assignment, Executor, Task
 
 
 class Effect(IntEnum):
--- a/firwalk/logic.py
+++ b/firwalk/policy/policy.py
@@ -2,7 +2,8 @@
 
 How to call it: make one `Node` with a host and the settings; then call one method for each thing that
 happens (`task_arrived`, `ended`, `heard`, ...), with the time in seconds first. It acts only through its host
-(`firwalk/host.py`); timers come back as calls of the function that was set. Departures: `docs/design.md`.
+(`firwalk/policy/interface.py`); timers come back as calls of the function that was set. Departures:
+`docs/design.md`.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from typing import Any
 from zlib import crc32
 
-from firwalk.candidates import Candidates
-from firwalk.host import Condition, Effect, Group, Host, Outcome
+from firwalk.policy.candidates import Candidates
+from firwalk.policy.interface import Condition, Effect, Group, Host, Outcome
 
 WEIGHT, KIND_WEIGHT = 0.2, 0.05  # of a new sample in a speed (the design's start); of that in its kind's
 FLOOR = 0.1  # least (1 - utilisation) that an estimate is divided by (the design's start)
--- a/firwalk/wirehost/__main__.py
+++ b/firwalk/wirehost/__main__.py
@@ -1,6 +1,6 @@
 """Runs nodes on the bench's wire: frames in on standard input, one reply a batch on standard output.
 
-Translates ids to objects and the wire's units and words to ours; every decision is `firwalk.logic`'s.
+Translates ids to objects and the wire's units and words to ours; every decision is `firwalk.policy.policy`'s.
 Instances share nothing but the numbered lists that the wire itself shares.
 """
 
@@ -12,9 +12,9 @@
 
 import orjson
 
-from firwalk import hearsay
-from firwalk.host import Condition
-from firwalk.settings import MICRO, REPORT_WORDS, build_node
+from firwalk.config.node_config import MICRO, REPORT_WORDS, build_node
+from firwalk.dispatcher import failure_gossip
+from firwalk.policy.interface import Condition
 from firwalk.wirehost import codec as c
 
 LONGEST = 0xFFFFFFFF
@@ -33,7 +33,7 @@
         self.executors: dict[bytes, object] = {}
         self.timers: dict[int, tuple] = {}
         self.label = 0
-        self.marks = hearsay.Marks()
+        self.marks = failure_gossip.Marks()
         self.names = [REPORT_WORDS.get(n, n) for n in settings.get("load-report", {}).get("names", [])]
         self.node = build_node(self, seed, settings, now)
 
@@ -71,7 +71,7 @@
         self.out.append(c.DEFER.pack(c.DO_DEFER, self.number, int(when * 1e6) + 1, self.label))
 
     def warn_peers(self, executor):
-        content = hearsay.mark_of(executor.ref)
+        content = failure_gossip.mark_of(executor.ref)
         self.out.append(c.ANNOUNCE.pack(c.DO_ANNOUNCE, self.number, c.EVERY_PEER, len(content)) + content)
 
     def watch(self, on):
--- a/firwalk/wirehost/codec.py
+++ b/firwalk/wirehost/codec.py
@@ -8,7 +8,7 @@
 
 from struct import Struct
 
-from firwalk.host import Condition, Outcome
+from firwalk.policy.interface import Condition, Outcome
 
 BATCH = Struct("<IIIQ")  # number, size of what follows the size field, records, clock
 REPLY = Struct("<III")
--- a/tests/agent/test_keeper.py
+++ b/tests/agent/test_keeper.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from firwalk.agent import keeper as keeper_module
-from firwalk.agent.keeper import CONFIRM, END, FALSE_CHECKS, HANG, READY, Keeper, Kept, Order
-from firwalk.agent.machine import State, _order
+from firwalk.agent import supervisor as keeper_module
+from firwalk.agent.host_processes import State, _order
+from firwalk.agent.supervisor import CONFIRM, END, FALSE_CHECKS, HANG, READY, Keeper, Kept, Order
 
 
 class Machine:
--- a/tests/agent/test_machine.py
+++ b/tests/agent/test_machine.py
@@ -10,9 +10,9 @@
 import psutil
 import pytest
 
-from firwalk.agent import machine as machine_module
-from firwalk.agent.keeper import Child
-from firwalk.agent.machine import STATE, Machine, Settings
+from firwalk.agent import host_processes as machine_module
+from firwalk.agent.host_processes import STATE, Machine, Settings
+from firwalk.agent.supervisor import Child
 
 
 @pytest.fixture
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from firwalk.cluster import lease, plan
+from firwalk.cluster.cluster_member import Seat
 from firwalk.cluster.messages import NOBODY, Accept, Promise
-from firwalk.cluster.seat import Seat
 
 
 def _of(change):
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -8,9 +8,9 @@
 from firwalk.broker import ledger
 from firwalk.broker.contracts import Contracts, Team
 from firwalk.broker.ledger import Account, Ledger, Reservation
-from firwalk.cluster import budgets, spending
-from firwalk.cluster.budgets import Dealer, Offer, Terms
+from firwalk.cluster import quota_accounting, quotas
 from firwalk.cluster.messages import Answer, Grant, Piece, Prepare, Propose, Want
+from firwalk.cluster.quotas import Dealer, Offer, Terms
 from firwalk.lab import purses
 from firwalk.lab.virtual import Schedule
 
@@ -25,7 +25,7 @@
 
 
 def test_spending_by_team_is_in_the_log_each_minute(monkeypatch):
-    monkeypatch.setattr(spending, "LOG_EVERY", 2.0)
+    monkeypatch.setattr(quota_accounting, "LOG_EVERY", 2.0)
     fleet = purses.Fleet(Schedule(7, 4, [0, 1, 2], 9.0, settings={"length": 0.4}), [purses.contracts(1)[0]])
     told = fleet.run()
     lines = [(at, about) for at, _, _, what, about in fleet.world.history if what == "spent"]
@@ -43,13 +43,13 @@
 
 
 def part_outlives_its_lease(patch):
-    init = budgets.Holder.__init__
+    init = quotas.Holder.__init__
 
     def longer(self, *args):
         init(self, *args)
         self.good *= 1.6
 
-    patch.setattr(budgets.Holder, "__init__", longer)
+    patch.setattr(quotas.Holder, "__init__", longer)
 
 
 def double_refund(patch):
@@ -84,7 +84,7 @@
 
 def answers_that_were_lost_count_no_more(patch):
     patch.setattr(
-        budgets.Held,
+        quotas.Held,
         "live",
         lambda self, now: (
             self.grants[max(self.grants)][1] if self.grants and max(self.grants.values())[0] > now else 0
@@ -93,18 +93,18 @@
 
 
 def what_is_out_is_not_looked_at(patch):
-    patch.setattr(budgets.Book, "counted", lambda self, now, key, least: None)
+    patch.setattr(quotas.Book, "counted", lambda self, now, key, least: None)
 
 
 def time_counts_from_the_answer(patch):
-    came = budgets.Holder.grant_came
+    came = quotas.Holder.grant_came
 
     def from_now(self, now, sender, got):
         if got.mark in self.marks:
             self.marks[got.mark] = now
         came(self, now, sender, got)
 
-    patch.setattr(budgets.Holder, "grant_came", from_now)
+    patch.setattr(quotas.Holder, "grant_came", from_now)
 
 
 MUTANTS = [
@@ -549,7 +549,7 @@
 
     def __init__(self):
         self.told, self.office, self.account = [], (1, 0, 5), account()
-        self.holder = budgets.Holder(self, Terms(LENGTH), lambda: self.office)
+        self.holder = quotas.Holder(self, Terms(LENGTH), lambda: self.office)
         self.holder.purses = lambda: [self.account]
         self.holder.changed(7, {})
         self.account.wanted(0.0, 3.0)
@@ -561,7 +561,7 @@
         pass
 
     def grants(self, now, mark, part=MILLION, sender=0):
-        self.holder.grant_came(now, sender, budgets.Grant(mark, 7, int(LENGTH * 1e3), [(0, part)]))
+        self.holder.grant_came(now, sender, quotas.Grant(mark, 7, int(LENGTH * 1e3), [(0, part)]))
         return self.account.holds(now)
 
 
@@ -588,14 +588,14 @@
 def older_answers(holder, now, sender, got):
     """A broken holder: takes whatever arrives last."""
     holder.acts_on = {}
-    return budgets.Holder.grant_came(holder, now, sender, got)
+    return quotas.Holder.grant_came(holder, now, sender, got)
 
 
 def test_a_holder_that_takes_whatever_arrives_last_is_told_apart(asked):
     asked.account.wanted(1.0, 3.0)
     asked.holder.ask(1.2)
     assert asked.grants(1.3, 2, 5) == 5
-    older_answers(asked.holder, 1.3, 0, budgets.Grant(1, 7, int(LENGTH * 1e3), [(0, MILLION)]))
+    older_answers(asked.holder, 1.3, 0, quotas.Grant(1, 7, int(LENGTH * 1e3), [(0, MILLION)]))
     assert asked.account.holds(1.3) != 5
 
 
--- a/tests/cluster/test_fleet_virtual.py
+++ b/tests/cluster/test_fleet_virtual.py
@@ -4,8 +4,8 @@
 from msgspec.structs import replace
 from runs import fault, scenario
 
-from firwalk.cluster import steering, zones
-from firwalk.cluster.seat import Seat
+from firwalk.cluster import plan_enforcement, zones
+from firwalk.cluster.cluster_member import Seat
 from firwalk.cluster.zones import Zones
 from firwalk.lab.fleet import Fleet
 from firwalk.lab.fleets import SETTLE, Shown, Spell, lines, misfits, scaled, shown
@@ -174,7 +174,7 @@
     told = day(fault(4.0, "cut", "executors:c", 7.0, to="nodes"), load=1.3)
     (low, lows), (high, highs) = turned_away(told, 1)
     assert low / lows > 0.1 and high / highs < 0.02
-    monkeypatch.setattr(steering.Mix, "turned_away", lambda self, part, importance: part)
+    monkeypatch.setattr(plan_enforcement.Mix, "turned_away", lambda self, part, importance: part)
     (low, lows), (high, highs) = turned_away(told, 1)
     assert high / highs >= 0.02
 
--- a/tests/cluster/test_lease.py
+++ b/tests/cluster/test_lease.py
@@ -5,8 +5,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from firwalk.cluster import messages as m
-from firwalk.cluster.chance import Chance
 from firwalk.cluster.lease import Candidate, Voter
+from firwalk.cluster.random_source import Chance
 
 LENGTH, DRIFT = 2.0, 0.01
 
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -6,9 +6,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 from test_lease import Box
 
-from firwalk.cluster.chance import Chance
 from firwalk.cluster.host import State
 from firwalk.cluster.members import Members
+from firwalk.cluster.random_source import Chance
 from firwalk.lab.virtual import Fault, Schedule, World
 
 FAST = {"period": 0.5, "answer": 0.15}
--- a/tests/cluster/test_plan.py
+++ b/tests/cluster/test_plan.py
@@ -3,9 +3,9 @@
 import pytest
 from test_lease import Box
 
-from firwalk.cluster.chance import Chance
 from firwalk.cluster.messages import MOST_PIECES, PIECE, Answer
 from firwalk.cluster.plan import Follower, TooLong, encoded, pieces
+from firwalk.cluster.random_source import Chance
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch
 from firwalk.lab.virtual import Fault, Schedule, World
--- a/tests/cluster/test_sharing.py
+++ b/tests/cluster/test_sharing.py
@@ -1,6 +1,6 @@
 """What of budgets can be spent while demand is uneven, moves or floods; figures beside what misses them."""
 
-from firwalk.cluster.budgets import Dealer
+from firwalk.cluster.quotas import Dealer
 from firwalk.lab.sharing import flooded, many_teams, shifted, skewed
 
 
--- a/tests/cluster/test_stages.py
+++ b/tests/cluster/test_stages.py
@@ -14,13 +14,24 @@
 from msgspec.structs import replace
 from rich.console import Console
 
-from firwalk import changes
 from firwalk.cli import picture
 from firwalk.cluster import messages as m
-from firwalk.cluster import stages as stages_module
-from firwalk.cluster.comparing import ABANDONED, ALL, BAD, LATE, TIME, Comparison, Pasts, Row, Verdict, Worse
-from firwalk.cluster.spans import read, spelled
-from firwalk.cluster.stages import Roll, Terms, in_turn, sets
+from firwalk.cluster import rollout as stages_module
+from firwalk.cluster.canary_analysis import (
+    ABANDONED,
+    ALL,
+    BAD,
+    LATE,
+    TIME,
+    Comparison,
+    Pasts,
+    Row,
+    Verdict,
+    Worse,
+)
+from firwalk.cluster.node_id_ranges import read, spelled
+from firwalk.cluster.rollout import Roll, Terms, in_turn, sets
+from firwalk.config import rollout_file
 from firwalk.lab.rolls import CHANGE, CHECK, KINDS, REPLACE, Fleet, Version
 from firwalk.lab.virtual import Fault
 
@@ -585,7 +596,7 @@
 )
 def test_all_that_is_wrong_with_a_change_is_told(tmp_path, text, words):
     (tmp_path / "c.toml").write_text(text)
-    change, _, faults = changes.named(str(tmp_path), "c")
+    change, _, faults = rollout_file.named(str(tmp_path), "c")
     assert change is None and all(any(word in fault for fault in faults) for word in words), faults
 
 
@@ -593,20 +604,20 @@
     (tmp_path / "c.toml").write_text("contracts = '2'\nbefore = '1'")
     beside = tmp_path / "contracts-2.toml"
     beside.write_text("version = 3\nteams = []")
-    assert "version: 3 is not 2" in changes.named(str(tmp_path), "c")[2][0]
+    assert "version: 3 is not 2" in rollout_file.named(str(tmp_path), "c")[2][0]
     beside.write_text("version = 2\nteams = [{name = 'north', budget = -1}]")
-    assert changes.named(str(tmp_path), "c")[0] is None
+    assert rollout_file.named(str(tmp_path), "c")[0] is None
     beside.write_text("version = 2\nteams = [{name = 'north', budget = 1}]")
-    change, _, faults = changes.named(str(tmp_path), "c")
+    change, _, faults = rollout_file.named(str(tmp_path), "c")
     assert not faults and (change.kind(), change.what(), change.before) == ("contracts", "2", "1")
 
 
 def test_a_good_change_is_read_and_a_name_that_is_none_is_not(tmp_path):
     (tmp_path / "c.toml").write_text(GOOD)
-    change, check, faults = changes.named(str(tmp_path), "c")
+    change, check, faults = rollout_file.named(str(tmp_path), "c")
     assert not faults and change.what() == "v2" and check == crc32(GOOD.encode())
     for name in ("../c", "", "x" * 41, "d"):
-        assert changes.named(str(tmp_path), name)[0] is None
+        assert rollout_file.named(str(tmp_path), name)[0] is None
 
 
 def test_the_largest_figures_fit_a_datagram():
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -3,10 +3,10 @@
 import pytest
 from helpers import LIMITS, OFFERINGS
 
-from firwalk.cluster.steering import Mix, Steering
+from firwalk.cluster.plan_enforcement import Mix, Steering
 from firwalk.cluster.zones import Mode
-from firwalk.facade import Desk
-from firwalk.host import Condition, Outcome
+from firwalk.dispatcher.dispatcher import Desk
+from firwalk.policy.interface import Condition, Outcome
 
 SETTINGS = {
     "offerings": OFFERINGS,
--- a/tests/cluster/test_zones.py
+++ b/tests/cluster/test_zones.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from firwalk.cluster import zones as zones_module
-from firwalk.cluster.evidence import Watch, views
+from firwalk.cluster.health_observations import Watch, views
 from firwalk.cluster.zones import REGION, STEPS, Mode, Terms, View, Zones, followed
 
 GOOD, LOST = View(10, 0, 0, 0.01, 10.0), View(10, 10, 0, 0.0, 10.0)
--- a/tests/cluster/test_zones_virtual.py
+++ b/tests/cluster/test_zones_virtual.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from firwalk.cluster.cluster_member import Seat
 from firwalk.cluster.messages import Evidence
-from firwalk.cluster.seat import Seat
 from firwalk.cluster.zones import Terms, followed
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -6,10 +6,11 @@
 import asyncio
 import sys
 
-from firwalk import facade, logic
 from firwalk.cluster import lease, plan
-from firwalk.host import Condition, Outcome
+from firwalk.dispatcher import dispatcher
 from firwalk.net import clients
+from firwalk.policy import policy
+from firwalk.policy.interface import Condition, Outcome
 
 
 def every(number):
@@ -57,37 +58,37 @@
 
 def repeats_what_must_not_repeat():
     """It takes a finished attempt for one that failed, and its gates let every request pass again."""
-    real = logic.Node.ended
+    real = policy.Node.ended
 
     def ended(self, now, assignment, how, took, complete, report):
         if how is Outcome.FINISHED and len(assignment.task.assignments) == 1:
             how, complete = Outcome.ERROR, False
         real(self, now, assignment, how, took, complete, report)
 
-    logic.Node.ended = ended
-    logic.Node._safe_after = lambda self, now, task, executor, before: len(before) < 3
-    facade.LAST = (Outcome.UNFIT,)
+    policy.Node.ended = ended
+    policy.Node._safe_after = lambda self, now, task, executor, before: len(before) < 3
+    dispatcher.LAST = (Outcome.UNFIT,)
 
 
 def does_not_hear_of_drains():
-    real = logic.Node.heard
+    real = policy.Node.heard
 
     def heard(self, now, executor, condition, came_up):
         real(self, now, executor, Condition.READY if condition is Condition.DRAINING else condition, came_up)
 
-    logic.Node.heard = heard
+    policy.Node.heard = heard
 
 
 def pushes_cold_ones_over():
     """All goes to whoever came up last, as if it were warm."""
-    logic.Node._cold_room = lambda self, now, executor, task, own=0.0: True
-    real = logic.Node._choose
+    policy.Node._cold_room = lambda self, now, executor, task, own=0.0: True
+    real = policy.Node._choose
 
     def choose(self, now, task, among, anew=False):
         ready = [e for e in self.near + self.far if not task.assignments and e.came_up]
         return max(ready, key=lambda e: e.came_up, default=None) or real(self, now, task, among, anew)
 
-    logic.Node._choose = choose
+    policy.Node._choose = choose
 
 
 def voter_grants_at_once_after_its_start():
@@ -160,7 +161,7 @@
 
 def part_outlives_its_lease():
     """Four times as long as it may; found out by days with budgets (`test_budgets_processes.py`)."""
-    from firwalk.cluster.budgets import Holder
+    from firwalk.cluster.quotas import Holder
 
     real = Holder.__init__
 
--- a/tests/fleet/test_operations.py
+++ b/tests/fleet/test_operations.py
@@ -11,9 +11,9 @@
 import pytest
 from helpers import World, free_port, post
 
-from firwalk import changes, operations
-from firwalk.agent import machine
+from firwalk.agent import host_processes
 from firwalk.broker import contracts
+from firwalk.config import operations, rollout_file
 from firwalk.lab import scenario
 
 ROOT = Path(__file__).parents[2]
@@ -102,7 +102,7 @@
     page, shipped = (ROOT / "docs" / "configuration.md").read_text(), ROOT / "deploy" / "changes" / "v2.toml"
     assert command("roll", "check", shipped)[0] == 0
     text = shipped.read_text()
-    for kind in (changes.Change, changes.Compare):
+    for kind in (rollout_file.Change, rollout_file.Compare):
         for key in kind.__struct_fields__:
             assert f"\n{key} = " in text or f"\n# {key} = " in text or f"[{key}]" in text
             assert f"`{key}`" in page or f"[{key}]" in page
@@ -110,16 +110,16 @@
         assert f"\n# {key} = " in (ROOT / "deploy" / "cluster.toml").read_text()
         assert f"`stages.{key}`" in page
     text = (ROOT / "deploy" / "agent.toml").read_text()
-    for key in machine.Settings.__struct_fields__:
+    for key in host_processes.Settings.__struct_fields__:
         assert f"\n{key} = " in text and f"`{key}`" in page
     (tmp_path / "agent.toml").write_text(text)
-    told, faults = machine.load(str(tmp_path / "agent.toml"))
+    told, faults = host_processes.load(str(tmp_path / "agent.toml"))
     assert told is None and [fault.split(": ")[1] for fault in faults] == ["config", "release"]
     (tmp_path / "node.json").write_text("{}")
     (tmp_path / "releases" / "v1").mkdir(parents=True)
     (tmp_path / "releases" / "v1" / "run").write_text("#!/bin/sh\n")
     (tmp_path / "releases" / "v1" / "run").chmod(0o755)
-    told, faults = machine.load(str(tmp_path / "agent.toml"))
+    told, faults = host_processes.load(str(tmp_path / "agent.toml"))
     assert not faults and told.releases == str(tmp_path / "releases")
     bad = tmp_path / "bad.toml"
     bad.write_text("release = 7\nstage = []")
@@ -267,11 +267,11 @@
 NEW = (
     "firwalk.broker",
     "firwalk.agent",
-    "firwalk.changes",
+    "firwalk.config.rollout_file",
     "firwalk.cluster",
     "firwalk.net.cluster",
-    "firwalk.operations",
-    "firwalk.checking",
+    "firwalk.config.operations",
+    "firwalk.config.validation",
     "firwalk.lab",
     "firwalk.cli",
     "msgspec",
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,8 +13,8 @@
 
 import orjson
 
-from firwalk.host import Condition, Effect, Group, Outcome
-from firwalk.logic import Node, Offering, Tenant
+from firwalk.policy.interface import Condition, Effect, Group, Outcome
+from firwalk.policy.policy import Node, Offering, Tenant
 
 TRACES = Path(__file__).parent / "traces"
 
--- a/tests/soak/faulty.py
+++ b/tests/soak/faulty.py
@@ -7,8 +7,9 @@
 from functools import partial
 from pathlib import Path
 
-from firwalk import facade, stop_plan
-from firwalk.net import clients, stopping
+from firwalk import stop_plan
+from firwalk.dispatcher import dispatcher
+from firwalk.net import clients, graceful_shutdown
 
 sys.path.insert(0, str(Path(__file__).parents[1] / "fleet"))  # the shim loads this file by its path alone
 import doubles
@@ -33,7 +34,7 @@
     async def run(self):
         return None
 
-    stopping.Stop.run = run
+    graceful_shutdown.Stop.run = run
 
 
 def closes_over_requests():
@@ -76,7 +77,7 @@
         await real(self, *rest)
 
     clients.Clients._task = task
-    facade.Desk.report_gone = lambda self, errand, reason="": None
+    dispatcher.Desk.report_gone = lambda self, errand, reason="": None
     clients.hung_up = lambda sock: False
 
 
@@ -101,7 +102,7 @@
 
 
 def crashes():
-    real = facade.Desk.report_task
+    real = dispatcher.Desk.report_task
 
     def report_task(self, *rest, **more):
         if time.monotonic() > crash_at:
@@ -109,7 +110,7 @@
         return real(self, *rest, **more)
 
     crash_at = time.monotonic() + 3.0
-    facade.Desk.report_task = report_task
+    dispatcher.Desk.report_task = report_task
 
 
 def does_not_begin():
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -5,8 +5,8 @@
 import pytest
 from helpers import Fake
 
-from firwalk.candidates import FAR_LOOKS, LARGE, NEAR_LOOKS
-from firwalk.host import Condition, Outcome
+from firwalk.policy.candidates import FAR_LOOKS, LARGE, NEAR_LOOKS
+from firwalk.policy.interface import Condition, Outcome
 
 
 def fleet(count, zones=2, **more):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,9 +6,9 @@
 import pytest
 from helpers import Fake, offering
 
-from firwalk.host import Condition, Effect, Group, Outcome
-from firwalk.logic import Tenant
 from firwalk.net.discovery import CALL_TIME, CONNECT_TIME, SILENCE
+from firwalk.policy.interface import Condition, Effect, Group, Outcome
+from firwalk.policy.policy import Tenant
 
 IDEMPOTENT, FINGERPRINTED, SIDE_EFFECTING = Effect.IDEMPOTENT, Effect.FINGERPRINTED, Effect.SIDE_EFFECTING
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,14 +13,14 @@
 from helpers import address_of, post
 from test_service import GET, play
 
-from firwalk.facade import Errand, Place
-from firwalk.host import Outcome
+from firwalk.dispatcher.dispatcher import Errand, Place
 from firwalk.net.address import parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import LOOKS, READ_AHEAD, Client, Clients
 from firwalk.net.executors import Executors
-from firwalk.net.stopping import Stop
+from firwalk.net.graceful_shutdown import Stop
+from firwalk.policy.interface import Outcome
 from firwalk.stop_plan import Deadlines
 
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -6,10 +6,10 @@
 import pytest
 from helpers import LIMITS, OFFERINGS
 
-from firwalk.facade import Chore, Desk
-from firwalk.hearsay import Marks, mark_of
-from firwalk.host import Condition, Outcome
+from firwalk.dispatcher.dispatcher import Chore, Desk
+from firwalk.dispatcher.failure_gossip import Marks, mark_of
 from firwalk.net.listing import read
+from firwalk.policy.interface import Condition, Outcome
 
 SETTINGS = {
     "offerings": OFFERINGS,
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -46,7 +46,7 @@
 
 def test_there_is_no_circle_of_imports():
     named = graph()
-    named.pop("firwalk.logic")  # its words and the host's are one vocabulary, told in two files
+    named.pop("firwalk.policy.policy")  # its words and the host's are one vocabulary, told in two files
     assert len(named) > 30 and circles(named) == []
 
 
@@ -59,4 +59,4 @@
         if not name.startswith(("firwalk.lab", "firwalk.cli")):
             assert not [o for o in others if o.startswith(("firwalk.lab", "firwalk.cli"))], name
         if name.startswith("firwalk.cluster"):
-            assert not [o for o in others if o.startswith(("firwalk.net", "firwalk.facade"))], name
+            assert not [o for o in others if o.startswith(("firwalk.net", "firwalk.dispatcher"))], name
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -8,8 +8,8 @@
 from helpers import post
 from test_service import play
 
-from firwalk.host import Condition
 from firwalk.net import http, listing
+from firwalk.policy.interface import Condition
 
 ENTRY = {
     "instanceId": "e0",
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -12,7 +12,7 @@
 from helpers import post
 from test_service import play
 
-from firwalk import log
+from firwalk.observability import log
 
 
 @pytest.fixture
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,10 +8,10 @@
 from test_facade import Play
 from test_service import play
 
-from firwalk.facade import Chore, Step
-from firwalk.host import Condition, Outcome
-from firwalk.maintenance import Maintenance
+from firwalk.dispatcher.dispatcher import Chore, Step
+from firwalk.dispatcher.maintenance import Maintenance
 from firwalk.net.management import LEAST, places
+from firwalk.policy.interface import Condition, Outcome
 
 COLD = {"guarantees": {"cold-us": 3000000, "cold-from": 0.2, "fall-multiple": 2.5, "tip-after-us": 2000000}}
 
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -7,7 +7,7 @@
 from helpers import LIMITS, OFFERINGS, World, post
 
 from firwalk import migrate
-from firwalk.settings import check
+from firwalk.config.node_config import check
 
 OLD = {
     "name": "n0",
--- a/tests/test_monitor.py
+++ b/tests/test_monitor.py
@@ -5,9 +5,9 @@
 import orjson
 import pytest
 
-from firwalk.events import KEPT_EVENTS, Event, EventLog
-from firwalk.host import Effect, Group, Outcome
-from firwalk.monitor import Monitor, Rule
+from firwalk.observability.events import KEPT_EVENTS, Event, EventLog
+from firwalk.observability.monitor import Monitor, Rule
+from firwalk.policy.interface import Effect, Group, Outcome
 
 
 class Story:
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -9,9 +9,9 @@
 from test_facade import SETTINGS, Play
 from test_service import play, slowly
 
-from firwalk.facade import Desk, Step
-from firwalk.host import Effect, Outcome
-from firwalk.settings import check_news, needs_restart
+from firwalk.config.node_config import check_news, needs_restart
+from firwalk.dispatcher.dispatcher import Desk, Step
+from firwalk.policy.interface import Effect, Outcome
 
 CONFIG = {
     "name": "n0",
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,9 +16,7 @@
 from helpers import LIMITS, OFFERINGS, World, address_of, post
 from helpers import Executor as StandIn
 
-from firwalk.events import CloseReason
-from firwalk.facade import Desk, Errand, Place, Step
-from firwalk.host import Condition, Outcome
+from firwalk.dispatcher.dispatcher import Desk, Errand, Place, Step
 from firwalk.net.address import new_socket, parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
@@ -28,6 +26,8 @@
 from firwalk.net.service import Service
 from firwalk.net.turns import Turns
 from firwalk.net.waiting import connected
+from firwalk.observability.events import CloseReason
+from firwalk.policy.interface import Condition, Outcome
 
 GET = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from firwalk.facade import Desk, Step
-from firwalk.host import Condition, Effect, Group, Outcome
-from firwalk.settings import EFFECTS, GROUPS, check, check_news
+from firwalk.config.node_config import EFFECTS, GROUPS, check, check_news
+from firwalk.dispatcher.dispatcher import Desk, Step
+from firwalk.policy.interface import Condition, Effect, Group, Outcome
 
 SITES = sorted((Path(__file__).parents[1] / "deploy" / "sites").glob("*.toml"))
 MILLI = 1000  # microseconds
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import Fake
 
-from firwalk.host import Outcome
+from firwalk.policy.interface import Outcome
 
 WINDOW, MULTIPLE = 2.0, 2.5  # seconds, and times its capacity: what the settings allow
 COLD_FROM, COLD_FOR = 0.3, 8.0
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -14,12 +14,12 @@
 from helpers import OFFERINGS, World, free_port, post, read_message
 from test_service import play, silent, slowly
 
-from firwalk.maintenance import Maintenance
+from firwalk.dispatcher.maintenance import Maintenance
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import Clients
-from firwalk.net.handover import Line, Meeting
-from firwalk.net.succession import Succession
+from firwalk.net.control_channel import Line, Meeting
+from firwalk.net.hot_restart import Succession
 
 
 class Another:
@@ -510,7 +510,7 @@
 )
 def test_a_file_that_cannot_be_used_costs_a_line_and_no_more(tmp_path, text, monkeypatch):
     said = []
-    monkeypatch.setattr("firwalk.net.handover.say", said.append)
+    monkeypatch.setattr("firwalk.net.control_channel.say", said.append)
     meeting = Meeting(str(tmp_path), "n0", "127.0.0.1:1", lambda line: None)
     meeting.file.write_bytes(text)
     kept = meeting.kept()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -5,7 +5,7 @@
 import pytest
 import uvloop
 
-from firwalk.facade import Chore, Desk
+from firwalk.dispatcher.dispatcher import Chore, Desk
 from firwalk.net.turns import Turns
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from firwalk.host import Outcome
+from firwalk.policy.interface import Outcome
 from firwalk.wirehost import codec as c
 from firwalk.wirehost.__main__ import Wire
 
