--- a/firwalk/__main__.py
+++ b/firwalk/__main__.py
@@ -17,10 +17,10 @@
 
 import uvloop
 
-from firwalk.config.node_config import in_lines, load, read
+from firwalk.config.node_config import error_lines, load, read
 from firwalk.net.opening import SHORT_OF_RESOURCES, ToldToStop, patiently
 from firwalk.net.service import Service
-from firwalk.observability.log import report
+from firwalk.observability.log import log_internal
 
 RELOAD_PATIENCE_S = 3.0  # in which a file that cannot be opened at SIGHUP is tried again
 AGAIN_S = 0.05
@@ -35,7 +35,7 @@
     from firwalk.config import operations
 
     told, faults = operations.load(path)
-    faults = faults or [f"{path}: {fault}" for fault in operations.misfits(told, config)]
+    faults = faults or [f"{path}: {fault}" for fault in operations.find_conflicts(told, config)]
     if faults:
         raise Unfit("\n".join(faults))
     return told
@@ -44,10 +44,12 @@
 def _reload_operations(service: Service, path: str) -> None:
     try:
         fixed = service.cluster.reload(_operations(path, service.config))
-        report("operators' file read again" + (f"; needs a restart: {', '.join(fixed)}" if fixed else ""))
+        log_internal(
+            "operators' file read again" + (f"; needs a restart: {', '.join(fixed)}" if fixed else "")
+        )
     except Unfit as problem:
         for line in str(problem).splitlines():
-            report(f"operators' file stays as it was: {line}")
+            log_internal(f"operators' file stays as it was: {line}")
 
 
 def _reload(service: Service, path: str, told: bool = False, operations: str | None = None) -> None:
@@ -66,8 +68,8 @@
         if getattr(problem, "errno", 0) in SHORT_OF_RESOURCES and monotonic() < until:
             service.loop.call_later(AGAIN_S, _take_over, service, path, operations, until)
             return
-        for line in in_lines(problem):
-            report(f"all stays as it was: cannot use {path}: {line}")
+        for line in error_lines(problem):
+            log_internal(f"all stays as it was: cannot use {path}: {line}")
     if service.cluster is not None:
         _reload_operations(service, operations)
 
@@ -82,7 +84,7 @@
             with suppress(OSError):
                 os.write(file, line + b"\n")
 
-        service.desk.events.write = write
+        service.dispatcher.events.write = write
 
 
 async def _load(path: str) -> dict:
@@ -105,7 +107,7 @@
             service.join(_operations(operations, service.config))
         await service.open()
     except ToldToStop:
-        report("told to end before it served: nothing was taken")
+        log_internal("told to end before it served: nothing was taken")
         _ignore_signals(loop)
         return 0
     except Unfit as problem:
@@ -113,7 +115,7 @@
             print(f"firwalk: cannot start: {line}", file=sys.stderr)
         return 2
     except Exception as problem:  # whatever is wrong with it, operators want one plain line
-        for line in in_lines(problem):
+        for line in error_lines(problem):
             print(f"firwalk: cannot start with {path}: {line}", file=sys.stderr)
         return 2
     gc.collect()
--- a/firwalk/agent/__main__.py
+++ b/firwalk/agent/__main__.py
@@ -18,8 +18,8 @@
 from firwalk.agent import host_processes
 
 
-async def _run(told: host_processes.Settings) -> int:
-    made = host_processes.Machine(told)
+async def _run(told: host_processes.AgentConfig) -> int:
+    made = host_processes.HostProcesses(told)
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, made.stopping.set)
     return await made.run()
--- a/firwalk/agent/host_processes.py
+++ b/firwalk/agent/host_processes.py
@@ -18,12 +18,21 @@
 import psutil
 from msgspec import Meta, Struct
 
-from firwalk.agent.supervisor import CONFIRM, HANG, READY, Child, Keeper, Kept, Order, Times
+from firwalk.agent.supervisor import (
+    CONFIRM,
+    HANG,
+    READY,
+    ChildProcess,
+    RolloutOrder,
+    Supervisor,
+    SupervisorState,
+    Times,
+)
 from firwalk.cluster.rollout import GOING, HELD
 from firwalk.config import validation
 from firwalk.config.rollout_file import NAME, Word
 from firwalk.observability import log
-from firwalk.observability.log import say
+from firwalk.observability.log import log_external
 
 ANSWER = 1.0  # seconds in which a call must be answered
 CHECK_EVERY = 1.0  # seconds between two runs of the operators' check
@@ -37,7 +46,7 @@
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
 
 
-class Settings(Struct, frozen=True):
+class AgentConfig(Struct, frozen=True):
     """The agent's file; paths are from its folder. `config`: the node's configuration, whose `management` is
     replaced by one of the two `management`; `releases`: each has its own `run`; `release`: the first one;
     `folder`: for sockets and what is kept; `check`: a command of the operators', which says by its exit code
@@ -58,9 +67,9 @@
     hang: Seconds = HANG
 
 
-def load(path: str) -> tuple[Settings | None, list[str]]:
+def load(path: str) -> tuple[AgentConfig | None, list[str]]:
     """The agent's file, checked, and what is wrong, a line each."""
-    told, faults = validation.from_toml(Settings, path)
+    told, faults = validation.load_toml(AgentConfig, path)
     if told is None:
         return None, faults
     folder = Path(path).resolve().parent
@@ -76,12 +85,12 @@
     return (None if faults else told), faults
 
 
-class State(Struct):
+class StoredState(Struct):
     """What is kept; `created`: when each process began, in seconds since the machine did, by its pid, which
     may be another's by now; `boot`: of the machine. Without it the times are by the wall clock, as agents
     wrote them before."""
 
-    kept: Kept
+    kept: SupervisorState
     created: dict[int, float]
     boot: str = ""
 
@@ -97,36 +106,36 @@
     return int(words[START_TICKS]) / os.sysconf("SC_CLK_TCK")
 
 
-class Machine:
+class HostProcesses:
     """The host of one keeper."""
 
-    def __init__(self, told: Settings):
+    def __init__(self, told: AgentConfig):
         self.told, self.folder = told, Path(told.folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.processes: dict[int, psutil.Popen | psutil.Process] = {}  # by pid
         self.unwritten = False  # whether the file is behind
         self.kept = self._read()
-        self.keeper = Keeper(self, self.kept, Times(told.ready, told.confirm, told.hang))
+        self.keeper = Supervisor(self, self.kept, Times(told.ready, told.confirm, told.hang))
         self.stopping = asyncio.Event()
         self.telling: dict[int, asyncio.Task] = {}
         self.checked_at, self.checking = 0.0, None
 
     # -- what is kept --------------------------------------------------------------------------------------
 
-    def _read(self) -> Kept:
+    def _read(self) -> SupervisorState:
         """What an agent before wrote; processes of it that are still there are found again."""
         try:
-            told = msgspec.json.decode((self.folder / STATE).read_bytes(), type=State)
+            told = msgspec.json.decode((self.folder / STATE).read_bytes(), type=StoredState)
         except (OSError, msgspec.DecodeError) as problem:
             if not isinstance(problem, FileNotFoundError):
-                say(f"agent: begun without what {STATE} keeps: {' '.join(str(problem).split())}")
-            return Kept(self.told.release, self._base().get("tag", ""))
+                log_external(f"agent: begun without what {STATE} keeps: {' '.join(str(problem).split())}")
+            return SupervisorState(self.told.release, self._base().get("tag", ""))
         for child in (told.kept.serving, told.kept.coming, told.kept.leaving):
             if child is not None and (found := self._found(child.pid, told)) is not None:
                 self.processes[child.pid] = found
         return told.kept
 
-    def _found(self, pid: int, told: State) -> psutil.Process | None:
+    def _found(self, pid: int, told: StoredState) -> psutil.Process | None:
         """The process that an agent before started, if it is there yet."""
         try:
             if pid not in told.created or told.boot not in ("", boot_id()):
@@ -137,7 +146,7 @@
             return None
         return process if abs(began - told.created[pid]) < SAME_S else None
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: SupervisorState) -> None:
         """Written beside and put in its place whole; what cannot be written is tried again with each look,
         and the agent goes on: its node needs it more than the file."""
         try:
@@ -145,20 +154,20 @@
             self.unwritten = False
         except OSError as problem:
             self.unwritten = True
-            say(f"agent: {STATE} cannot be written: {problem}")
+            log_external(f"agent: {STATE} cannot be written: {problem}")
 
     def keep_again(self) -> None:
         """What could not be written."""
         if self.unwritten:
             self.keep(self.kept)
 
-    def _write(self, kept: Kept) -> None:
+    def _write(self, kept: SupervisorState) -> None:
         created: dict[int, float] = {}
         for pid in self.processes:
             with suppress(OSError):
                 created[pid] = began_s(pid)
         part = self.folder / f"{STATE}.part"
-        part.write_bytes(msgspec.json.encode(State(kept, created, boot_id())))
+        part.write_bytes(msgspec.json.encode(StoredState(kept, created, boot_id())))
         part.replace(self.folder / STATE)
 
     # -- the keeper's host -----------------------------------------------------------------------------------
@@ -194,12 +203,12 @@
             }
             process = psutil.Popen([str(run)], cwd=run.parent, env=env)
         except (OSError, ValueError) as problem:
-            say(f"agent: release {release} cannot be started: {' '.join(str(problem).split())}")
+            log_external(f"agent: release {release} cannot be started: {' '.join(str(problem).split())}")
             return 0
         self.processes[process.pid] = process
         return process.pid
 
-    def _signal(self, child: Child, number: int) -> None:
+    def _signal(self, child: ChildProcess, number: int) -> None:
         process = self.processes.get(child.pid)
         try:
             if process is not None:
@@ -207,10 +216,10 @@
         except psutil.Error:
             pass  # it has ended; that is told by the next look
 
-    def end(self, child: Child) -> None:
+    def end(self, child: ChildProcess) -> None:
         self._signal(child, signal.SIGTERM)
 
-    def kill(self, child: Child) -> None:
+    def kill(self, child: ChildProcess) -> None:
         self._signal(child, signal.SIGKILL)
 
     def apply(self, tag: str) -> str:
@@ -241,9 +250,9 @@
         if self.told.events:
             at = time.clock_gettime(time.CLOCK_MONOTONIC)
             text = orjson.dumps({"event": f"agent_{what}", "at": at, "seat": -1, "life": 0, **about})
-            log.write(f"cluster {text.decode()}")
+            log.log_unlimited(f"cluster {text.decode()}")
         else:
-            say(f"agent: {what} {words}")
+            log_external(f"agent: {what} {words}")
 
     # -- looking -------------------------------------------------------------------------------------------
 
@@ -280,7 +289,7 @@
             return process.poll() is None
         return process.is_running() and process.status() != psutil.STATUS_ZOMBIE
 
-    async def _ask(self, child: Child) -> None:
+    async def _ask(self, child: ChildProcess) -> None:
         answer = await self._call(child, "PING")
         if answer is not None:
             self.keeper.answered(time.monotonic(), child, answer == "+OK")
@@ -290,7 +299,7 @@
             tag = runs.rpartition(" ")[2]
             self.keeper.wanted(time.monotonic(), child, _order(wanted), "" if tag == NONE else tag)
 
-    async def _call(self, child: Child, line: str, seconds: float = ANSWER) -> str | None:
+    async def _call(self, child: ChildProcess, line: str, seconds: float = ANSWER) -> str | None:
         return await call(self.told.management[child.slot], line, seconds)
 
     async def _check(self) -> None:
@@ -323,7 +332,7 @@
                 process.kill()
                 await process.wait()
         except OSError as problem:
-            say(f"agent: the check cannot be run: {' '.join(str(problem).split())}")
+            log_external(f"agent: the check cannot be run: {' '.join(str(problem).split())}")
             good = True  # that says nothing of the node
         self.keeper.checked(time.monotonic(), good)
 
@@ -343,10 +352,10 @@
         return None
 
 
-def _order(text: str) -> Order | None:
+def _order(text: str) -> RolloutOrder | None:
     """None where nothing is to be done: no plan in force, no change that was ever asked for, or one to what
     is no name of a folder."""
     words = text.split(" ")
     if len(words) != 4 or not words[0].isdecimal() or not NAME.fullmatch(words[2]):
         return None
-    return Order(int(words[0]), words[1], words[2], words[3] in (GOING, HELD))
+    return RolloutOrder(int(words[0]), words[1], words[2], words[3] in (GOING, HELD))
--- a/firwalk/agent/supervisor.py
+++ b/firwalk/agent/supervisor.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Child:
+class ChildProcess:
     """One process of the node. `number`: of the change on trial for which it runs, 0: of none."""
 
     release: str
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Order:
+class RolloutOrder:
     """What the plan wants of this node, as its process says: of the change `number`, `kind` and `what`.
     `trial`: the change is not over, so that a version which fails is told and left."""
 
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Kept:
+class SupervisorState:
     """What is written down before each step, for an agent that begins anew."""
 
     release: str
@@ -60,19 +60,19 @@
     before: str = ""  # the release, or tag, that the change under way goes back to
     failed: dict[int, str] = field(default_factory=dict)  # by change: why this node could not have it
     told: list[int] = field(default_factory=list)  # of these, which the coordinator has heard
-    serving: Child | None = None
-    coming: Child | None = None
-    leaving: Child | None = None
+    serving: ChildProcess | None = None
+    coming: ChildProcess | None = None
+    leaving: ChildProcess | None = None
 
 
 class Host(Protocol):
     def start(self, release: str, slot: int) -> int:
         """Starts the node's process of that release; its pid, 0 if it cannot be started."""
 
-    def end(self, child: Child) -> None:
+    def end(self, child: ChildProcess) -> None:
         """Tells it to end."""
 
-    def kill(self, child: Child) -> None:
+    def kill(self, child: ChildProcess) -> None:
         """Ends it at once."""
 
     def apply(self, tag: str) -> str:
@@ -82,7 +82,7 @@
     def tell_failed(self, number: int, why: str) -> None:
         """Says so through the serving process, which passes it on; `told` follows."""
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: SupervisorState) -> None:
         """Writes it down, whole."""
 
     def event(self, what: str, **about: object) -> None:
@@ -99,11 +99,11 @@
     hang: float = HANG
 
 
-class Keeper:
-    def __init__(self, host: Host, kept: Kept, times: Times | None = None):
+class Supervisor:
+    def __init__(self, host: Host, kept: SupervisorState, times: Times | None = None):
         self.host, self.kept, self.times = host, kept, times or Times()
         self.lost, self.start_at, self.applied_at, self.again_at = 0, 0.0, 0.0, 0.0
-        self.applying: Order | None = None
+        self.applying: RolloutOrder | None = None
         self.wrong, self.ending = 0, False
 
     # -- what happens --------------------------------------------------------------------------------------
@@ -120,17 +120,17 @@
             self.kept.serving, self.kept.coming = self.kept.coming, None
         self.tick(now)
 
-    def children(self) -> list[Child]:
+    def children(self) -> list[ChildProcess]:
         return [child for child in (self.kept.serving, self.kept.coming, self.kept.leaving) if child]
 
-    def answered(self, now: float, child: Child, ready: bool) -> None:
+    def answered(self, now: float, child: ChildProcess, ready: bool) -> None:
         """Its second address answered, and whether it takes clients."""
         child.heard_at = now
         if ready and not child.ready_at:
             child.ready_at = now
             self.host.event("ready", release=child.release, pid=child.pid)
 
-    def ended(self, now: float, child: Child, code: int | None) -> None:
+    def ended(self, now: float, child: ChildProcess, code: int | None) -> None:
         """The process is gone; `code` as of subprocess, None: nobody knows it."""
         kept = self.kept
         which = "serving" if child is kept.serving else "coming" if child is kept.coming else "leaving"
@@ -153,7 +153,7 @@
         elif child is kept.serving:
             self._lost(now, child, code)
 
-    def _lost(self, now: float, child: Child, code: int | None) -> None:
+    def _lost(self, now: float, child: ChildProcess, code: int | None) -> None:
         kept = self.kept
         kept.serving = None
         if self.ending:
@@ -170,13 +170,13 @@
             self.start_at = now + min(FIRST_WAIT * 2 ** (self.lost - 1), MOST_WAIT)
         self.host.keep(kept)
 
-    def _on_trial(self, child: Child | None) -> bool:
+    def _on_trial(self, child: ChildProcess | None) -> bool:
         """It runs a version that a change brings, and there is one before it to go back to."""
         return bool(
             child is not None and child.number and self.kept.before and child.release != self.kept.before
         )
 
-    def _go_back(self, now: float, child: Child, why: str) -> None:
+    def _go_back(self, now: float, child: ChildProcess, why: str) -> None:
         """The serving process of a version on trial is no more, or of no use: the one before, at once."""
         self.kept.release = self.kept.before
         self._failed(now, child.number, why)
@@ -201,7 +201,7 @@
             self.kept.told.append(number)
             self.host.keep(self.kept)
 
-    def wanted(self, now: float, child: Child, order: Order | None, tag: str) -> None:
+    def wanted(self, now: float, child: ChildProcess, order: RolloutOrder | None, tag: str) -> None:
         """What a process says of the plan; None: it follows none in force. `tag`: of the settings it runs."""
         if child is self.kept.coming and child.told_end:
             return
@@ -220,7 +220,7 @@
             else:
                 self._want_settings(now, order, tag)
 
-    def _confirmed(self, now: float, child: Child) -> None:
+    def _confirmed(self, now: float, child: ChildProcess) -> None:
         """The old one may go: from here on the new one is the node."""
         kept = self.kept
         kept.before = kept.serving.release if kept.serving else kept.before
@@ -232,7 +232,7 @@
             kept.leaving.told_end = now
             self.host.end(kept.leaving)
 
-    def _want(self, now: float, order: Order) -> None:
+    def _want(self, now: float, order: RolloutOrder) -> None:
         kept = self.kept
         if kept.coming is not None or kept.leaving is not None or self.ending:
             return
@@ -242,10 +242,10 @@
             kept.before = kept.serving.release
             self._start(now, order)
 
-    def _start(self, now: float, order: Order) -> None:
+    def _start(self, now: float, order: RolloutOrder) -> None:
         kept = self.kept
         number = order.number if order.trial else 0  # back: tried until it succeeds
-        child = Child(order.what, 1 - kept.serving.slot, number=number, started=now, heard_at=now)
+        child = ChildProcess(order.what, 1 - kept.serving.slot, number=number, started=now, heard_at=now)
         kept.coming = child
         self.host.keep(kept)
         child.pid = self.host.start(child.release, child.slot)
@@ -255,20 +255,20 @@
             self._failed(now, number, f"there is no release {child.release} here that can be started")
         self.host.keep(kept)
 
-    def _let_go(self, now: float, child: Child, why: str) -> None:
+    def _let_go(self, now: float, child: ChildProcess, why: str) -> None:
         """It has clients by now, and finishes what it took before it goes; then the old one serves again."""
         child.told_end = now
         self._failed(now, child.number, why)
         self.host.end(child)
 
-    def _drop(self, now: float, child: Child, why: str) -> None:
+    def _drop(self, now: float, child: ChildProcess, why: str) -> None:
         child.killed = True
         self._failed(now, child.number, why)
         self.host.kill(child)
 
     # -- settings ------------------------------------------------------------------------------------------
 
-    def _want_settings(self, now: float, order: Order, tag: str) -> None:
+    def _want_settings(self, now: float, order: RolloutOrder, tag: str) -> None:
         """Applied, and told to have failed if they are not in force in time: those before are put back."""
         kept = self.kept
         if tag == order.what:
@@ -294,7 +294,7 @@
         if reason:
             self._settings_failed(now, order, reason)
 
-    def _settings_failed(self, now: float, order: Order, why: str) -> None:
+    def _settings_failed(self, now: float, order: RolloutOrder, why: str) -> None:
         kept = self.kept
         kept.tag, self.applying, self.again_at = kept.before, None, now + AGAIN
         self._failed(now, order.number if order.trial else 0, why)
@@ -332,7 +332,7 @@
             if number not in kept.told and serving is not None and serving.ready_at and not serving.killed:
                 self.host.tell_failed(number, why)
 
-    def _hangs(self, now: float, child: Child) -> None:
+    def _hangs(self, now: float, child: ChildProcess) -> None:
         child.killed = True
         self.host.event("hangs", release=child.release, pid=child.pid)
         if self._on_trial(child):
@@ -342,7 +342,7 @@
     def _serve(self, now: float) -> None:
         kept = self.kept
         slot = 1 - kept.leaving.slot if kept.leaving is not None else 0
-        child = kept.serving = Child(kept.release, slot, started=now, heard_at=now)
+        child = kept.serving = ChildProcess(kept.release, slot, started=now, heard_at=now)
         self.host.keep(kept)
         child.pid = self.host.start(child.release, child.slot)
         self.host.event("starting", release=child.release, pid=child.pid, number=0)
--- a/firwalk/broker/contracts.py
+++ b/firwalk/broker/contracts.py
@@ -88,10 +88,10 @@
 
 def load(path: str) -> tuple[Contracts | None, list[str]]:
     """The contracts in the file, and what is wrong with it, a line each."""
-    return validation.from_toml(Contracts, path)
+    return validation.load_toml(Contracts, path)
 
 
-def misfits(contracts: Contracts, settings: dict) -> list[str]:
+def find_conflicts(contracts: Contracts, settings: dict) -> list[str]:
     """What contracts name and the node's settings do not know, a line each."""
     tenants = {tenant.get("name"): None for tenant in settings.get("tenants", [])}
     offerings = {offering.get("name"): None for offering in settings.get("offerings", [])}
--- a/firwalk/cli/main.py
+++ b/firwalk/cli/main.py
@@ -55,14 +55,14 @@
 ) -> None:
     """Tells all that is wrong with an operators' file, a line each."""
     from firwalk.config import operations
-    from firwalk.config.node_config import in_lines, load
+    from firwalk.config.node_config import error_lines, load
 
     told, faults = operations.load(file)
     if config is not None and told is not None:
         try:
-            faults = [f"{file}: {line}" for line in operations.misfits(told, load(config))]
+            faults = [f"{file}: {line}" for line in operations.find_conflicts(told, load(config))]
         except Exception as problem:
-            faults = [f"{config}: {line}" for line in in_lines(problem)]
+            faults = [f"{config}: {line}" for line in error_lines(problem)]
     if faults:
         _bad(faults)
     print(f"{file}: fit for use")
@@ -116,14 +116,14 @@
 def _contracts(file: str, config: str | None = None):
     """Checked; ends with 2 and a line for each fault."""
     from firwalk.broker import contracts as told
-    from firwalk.config.node_config import in_lines, load
+    from firwalk.config.node_config import error_lines, load
 
     found, faults = told.load(file)
     if found is not None and config is not None:
         try:
-            faults = [f"{file}: {line}" for line in told.misfits(found, load(config)["settings"])]
+            faults = [f"{file}: {line}" for line in told.find_conflicts(found, load(config)["settings"])]
         except Exception as problem:
-            faults = [f"{config}: {line}" for line in in_lines(problem)]
+            faults = [f"{config}: {line}" for line in error_lines(problem)]
     if faults:
         _bad(faults)
     return found
--- a/firwalk/cli/picture.py
+++ b/firwalk/cli/picture.py
@@ -12,7 +12,7 @@
 from rich.text import Text
 
 from firwalk.cluster.canary_analysis import Verdict
-from firwalk.cluster.node_id_ranges import read as seats
+from firwalk.cluster.node_id_ranges import decode_ranges as seats
 from firwalk.cluster.rollout import BACK, DONE, GOING, HELD, STOPPED
 
 COLOURS = {GOING: "cyan", HELD: "yellow", BACK: "red", STOPPED: "red", DONE: "green"}
--- a/firwalk/cluster/canary_analysis.py
+++ b/firwalk/cluster/canary_analysis.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class Worse:
+class HarmThresholds:
     """How much more counts as worse: parts of the tasks (`errors`: of the assignments), more assignments a
     task, times as long. `false_stop`, `miss`: chances, over all stages and for each."""
 
@@ -210,11 +210,11 @@
         return mine.mean() - _together(seats).mean() if off * off > OWN * OWN * spread else 0.0
 
 
-class Comparison:
+class CanaryAnalysis:
     """Of one stage. `stages`: how many there are, among which the chance of a false stop is divided; `past`:
     what the nodes counted before the change."""
 
-    def __init__(self, worse: Worse, stages: int, past: Pasts | None = None):
+    def __init__(self, worse: HarmThresholds, stages: int, past: Pasts | None = None):
         self.worse, self.stages, self.past = worse, max(stages, 1), past or Pasts()
         self.zones: dict[Key, dict[int, Side]] = {}
         self.fine: dict[Key, None] = {}  # found so at some look: a sequential test ends at its bound
--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -12,19 +12,19 @@
 from firwalk.cluster import quotas
 from firwalk.cluster.health_observations import views
 from firwalk.cluster.host import Host, State
-from firwalk.cluster.lease import Candidate, Voter
+from firwalk.cluster.lease import Acceptor, Proposer
 from firwalk.cluster.members import Members
-from firwalk.cluster.node_id_ranges import spelled
-from firwalk.cluster.plan import Follower, Writer
-from firwalk.cluster.random_source import Chance
-from firwalk.cluster.zones import Terms, Zones
+from firwalk.cluster.node_id_ranges import encode_ranges
+from firwalk.cluster.plan import PlanFollower, PlanPublisher
+from firwalk.cluster.random_source import RandomSource
+from firwalk.cluster.zones import ZonePolicy, Zones
 
 FEW = 400  # seats; with more the reports are spread, so that a coordinator gets so many a second
 GLANCE = 0.1  # seconds from a node's word against a zone to the coordinator's glance at it
 ASKS, ASK_AGAIN = 6, 0.25  # times that a wish is told to the coordinator, and the seconds between
 
 
-class Seat:
+class ClusterMember:
     """`life`: a number by chance, another one with each start. `zones`, `budgets_by`: the operators' terms
     for them, where there are any."""
 
@@ -33,7 +33,7 @@
         host: Host,
         seat: int,
         seats: int,
-        life: int,
+        generation: int,
         now: float,
         *,
         voters: list[int],
@@ -43,36 +43,40 @@
         answer: float = 0.15,
         report: float = 0.5,
         hold: float = 3.0,
-        zones: Terms | None = None,
-        budgets_by: quotas.Terms | None = None,
+        zones: ZonePolicy | None = None,
+        budgets_by: quotas.QuotaPolicy | None = None,
     ):
-        self.host, self.seat, self.seats, self.life = host, seat, seats, life
-        chance = Chance(life ^ seat)
+        self.host, self.seat, self.seats, self.generation = host, seat, seats, generation
+        chance = RandomSource(generation ^ seat)
         report, hold = self._spread(report, hold)
-        self.members = Members(host, seat, seats, life, chance, period=period, answer=answer)
-        self.voter = Voter(host, life, now, length=length, drift=drift) if seat in voters else None
-        self.follower = Follower(host, seat, chance, report=report, hold=hold)
+        self.members = Members(host, seat, seats, generation, chance, period=period, answer=answer)
+        self.voter = Acceptor(host, generation, now, length=length, drift=drift) if seat in voters else None
+        self.follower = PlanFollower(host, seat, chance, report=report, hold=hold)
         self.candidate, self.writer = None, None
         self.members.office = lambda: self.follower.office
         if self.voter is not None:
-            self.candidate = Candidate(
-                host, seat, life, voters, self.voter, chance, length=length, drift=drift
+            self.candidate = Proposer(
+                host, seat, generation, voters, self.voter, chance, length=length, drift=drift
             )
-            self.writer = Writer(host, self.candidate, self.follower, chance, self.members.up)
+            self.writer = PlanPublisher(host, self.candidate, self.follower, chance, self.members.up)
             self.candidate.won, self.candidate.lost = self.writer.won, self.writer.lost
             self.writer.opened = self._opened
         self.terms, self.zones, self.zone_of = zones, None, {}
         self.refused: dict[int, str] = {}
-        self.evidence: Callable[[float], m.Evidence] | None = None  # what this node tells of zones
-        self.early: Callable[[], m.Evidence] | None = None  # the same, out of turn
+        self.evidence: Callable[[float], m.HealthObservations] | None = None  # what this node tells of zones
+        self.early: Callable[[], m.HealthObservations] | None = None  # the same, out of turn
         self.early_at, self.glancing = float("-inf"), False
         self.wished, self.wishes = 0, {}  # operators' wishes that wait for the coordinator
         self.changing: Any = None  # its part in changes by stages (`firwalk.cluster.rollout_controller`)
-        self.holder = quotas.Holder(host, budgets_by, lambda: self.follower.office) if budgets_by else None
-        self.dealer: quotas.Dealer | None = None
-        self.offer: quotas.Offer | None = None  # the newest contracts that this node has
-        self.offers: dict[int, quotas.Offer] = {}  # all that it has, by their checksums
-        self.find_offer: Callable[[int], quotas.Offer | None] = lambda version: None  # by a version's file
+        self.holder = (
+            quotas.QuotaClient(host, budgets_by, lambda: self.follower.office) if budgets_by else None
+        )
+        self.dealer: quotas.QuotaAllocator | None = None
+        self.offer: quotas.ContractSet | None = None  # the newest contracts that this node has
+        self.offers: dict[int, quotas.ContractSet] = {}  # all that it has, by their checksums
+        self.find_offer: Callable[[int], quotas.ContractSet | None] = lambda version: (
+            None
+        )  # by a version's file
         self.ready: dict[int, int] = {}  # by seat: the newest contracts that it has, as it told
         self.waits_for = ""
         self._acts: dict[type, Callable[[float, int, int, Any], None]] = self._by_kind()
@@ -94,7 +98,7 @@
         if self.writer.in_office(now):
             up = self.members.up()
             changes = {
-                "seats": {"up": spelled(up), "count": len(up)},
+                "seats": {"up": encode_ranges(up), "count": len(up)},
                 "voters": {"up": [seat for seat in self.candidate.voters if seat in up]},
             }
             if self.zones is not None and self.writer.version:
@@ -139,7 +143,7 @@
 
     # -- budgets -------------------------------------------------------------------------------------------
 
-    def has_contracts(self, offer: quotas.Offer) -> None:
+    def has_contracts(self, offer: quotas.ContractSet) -> None:
         """This node has them, and follows them when the plan names them."""
         self.offer = offer
         self.offers[offer.check] = offer
@@ -158,7 +162,7 @@
         if offers and all(offer is not None for offer in offers):
             self._deal_by(now, *offers)
 
-    def _offered(self, version: int, check: int) -> quotas.Offer | None:
+    def _offered(self, version: int, check: int) -> quotas.ContractSet | None:
         """Those contracts, if this node has them, or finds them among the files of changes."""
         found = self.offers.get(check) or self.find_offer(version)
         if found is not None and found.check == check:
@@ -166,10 +170,12 @@
             return found
         return None
 
-    def _deal_by(self, now: float, offer: quotas.Offer, beside: quotas.Offer | None = None) -> None:
+    def _deal_by(
+        self, now: float, offer: quotas.ContractSet, beside: quotas.ContractSet | None = None
+    ) -> None:
         """These are in force: what was dealt by others in this office goes on counting."""
         if self.dealer is None:
-            self.dealer = quotas.Dealer(now, self.holder.terms, offer, self._may_hold, beside)
+            self.dealer = quotas.QuotaAllocator(now, self.holder.terms, offer, self._may_hold, beside)
         else:
             self.dealer.changed(now, offer, beside)
         for one in self.dealer.sides.values():
@@ -195,7 +201,7 @@
             without = [seat for seat in up if self.ready.get(seat) != offer.check]
             if not without:
                 return self._change(now, offer)
-            if (waits := spelled(without)) != self.waits_for:
+            if (waits := encode_ranges(without)) != self.waits_for:
                 self.waits_for = waits
                 self.host.event("contracts_wait", version=offer.version, seats=waits)
         if self.dealer is None:
@@ -220,11 +226,13 @@
         offers = [self._of_version(version) for version in wanted]
         return self._change(now, *offers) if all(offers) else {}
 
-    def _of_version(self, version: int) -> quotas.Offer | None:
+    def _of_version(self, version: int) -> quotas.ContractSet | None:
         known = [offer for offer in self.offers.values() if offer.version == version]
         return known[-1] if known else self.find_offer(version)
 
-    def _change(self, now: float, offer: quotas.Offer, beside: quotas.Offer | None = None) -> dict[str, Any]:
+    def _change(
+        self, now: float, offer: quotas.ContractSet, beside: quotas.ContractSet | None = None
+    ) -> dict[str, Any]:
         self.waits_for = ""
         for one in (offer, beside):
             if one is not None:
@@ -232,16 +240,16 @@
         self._deal_by(now, offer, beside)
         return {"budgets": quotas.section(offer, beside)}
 
-    def _want_came(self, now: float, seat: int, life: int, got: m.Want) -> None:
+    def _want_came(self, now: float, seat: int, generation: int, got: m.QuotaRequest) -> None:
         if self.holder is None or not self.writer.in_office(now):
             return
         self.ready[seat] = got.ready
         if self.dealer is not None and self.writer.version:
-            granted = self.dealer.want_came(now, seat, life, got)
+            granted = self.dealer.want_came(now, seat, generation, got)
             if granted is not None:
                 self.host.tell(seat, granted)
 
-    def _grant_came(self, now: float, seat: int, got: m.Grant) -> None:
+    def _grant_came(self, now: float, seat: int, got: m.QuotaGrant) -> None:
         if self.holder is not None:
             self.holder.grant_came(now, seat, got)
 
@@ -249,7 +257,7 @@
         if self.evidence is not None:
             self._evidence_came(now, self.seat, self.evidence(now))
 
-    def _evidence_came(self, now: float, seat: int, got: m.Evidence) -> None:
+    def _evidence_came(self, now: float, seat: int, got: m.HealthObservations) -> None:
         if self.zones is not None and self.writer.in_office(now):
             self.zone_of[seat] = got.zone
             self.zones.told_by(now, seat, got.zone, *views(got), got.early)
@@ -291,25 +299,28 @@
         if self.coordinates(now):
             done(*self._grant(now, word, zone))
         else:
-            self._wish_it(now, done, lambda number: m.Wish(number, word, zone))
+            self._wish_it(now, done, lambda number: m.OperatorCommand(number, word, zone))
 
     def word(
         self, now: float, word: str, name: str, check: int, text: str, done: Callable[[bool, str], None]
     ) -> None:
         """The same on a change."""
         if self.coordinates(now):
-            done(*self.changing.word_came(now, self.seat, m.Word(0, word, name, check, text)))
+            done(*self.changing.word_came(now, self.seat, m.RolloutCommand(0, word, name, check, text)))
         else:
-            self._wish_it(now, done, lambda number: m.Word(number, word, name, check, text))
+            self._wish_it(now, done, lambda number: m.RolloutCommand(number, word, name, check, text))
 
     def _wish_it(
-        self, now: float, done: Callable[[bool, str], None], made: Callable[[int], m.Wish | m.Word]
+        self,
+        now: float,
+        done: Callable[[bool, str], None],
+        made: Callable[[int], m.OperatorCommand | m.RolloutCommand],
     ) -> None:
         self.wished += 1
         self.wishes[self.wished] = done
         self._ask_wish(now, (made(self.wished), ASKS))
 
-    def _ask_wish(self, now: float, about: tuple[m.Wish | m.Word, int]) -> None:
+    def _ask_wish(self, now: float, about: tuple[m.OperatorCommand | m.RolloutCommand, int]) -> None:
         """A datagram may be lost, and to carry it out twice is as once."""
         wish, left = about
         if wish.number not in self.wishes:
@@ -320,21 +331,21 @@
         self.host.tell(self.follower.office[1], wish)
         self.host.set_timer(now + ASK_AGAIN, self._ask_wish, (wish, left - 1))
 
-    def _wish_came(self, now: float, seat: int, got: m.Wish) -> None:
+    def _wish_came(self, now: float, seat: int, got: m.OperatorCommand) -> None:
         if self.coordinates(now):
             granted, text = self._grant(now, got.word, got.zone)
-            self.host.tell(seat, m.Said(got.number, granted, text[: m.MOST_TEXT]))
+            self.host.tell(seat, m.CommandResult(got.number, granted, text[: m.MOST_TEXT]))
 
-    def _word_came(self, now: float, seat: int, got: m.Word) -> None:
+    def _word_came(self, now: float, seat: int, got: m.RolloutCommand) -> None:
         if self.coordinates(now) and self.changing is not None:
             done, text = self.changing.word_came(now, seat, got)
-            self.host.tell(seat, m.Said(got.number, done, text[: m.MOST_TEXT]))
+            self.host.tell(seat, m.CommandResult(got.number, done, text[: m.MOST_TEXT]))
 
-    def _figures_came(self, now: float, seat: int, life: int, got: m.Figures) -> None:
+    def _figures_came(self, now: float, seat: int, generation: int, got: m.RolloutMetrics) -> None:
         if self.changing is not None:
-            self.changing.came(now, seat, life, got)
+            self.changing.came(now, seat, generation, got)
 
-    def _said(self, got: m.Said) -> None:
+    def _said(self, got: m.CommandResult) -> None:
         done = self.wishes.pop(got.number, None)
         if done is not None:
             done(got.done, got.text)
@@ -372,51 +383,55 @@
             self.writer,
         )
         acts = {
-            m.Ping: lambda now, seat, life, got: members.ping_came(now, seat, got),
-            m.Ack: lambda now, seat, life, got: members.ack_came(now, seat, got),
-            m.Ask: lambda now, seat, life, got: members.ask_came(now, seat, got),
-            m.Nack: lambda now, seat, life, got: members.nack_came(now, got),
-            m.Answer: lambda now, seat, life, got: follower.answer_came(now, seat, got),
-            m.Piece: lambda now, seat, life, got: follower.piece_came(now, got),
-            m.Said: lambda now, seat, life, got: self._said(got),
-            m.Grant: lambda now, seat, life, got: self._grant_came(now, seat, got),
-            m.Fetch: lambda now, seat, life, got: follower.fetch_came(now, seat, got),
+            m.Ping: lambda now, seat, generation, got: members.ping_came(now, seat, got),
+            m.Ack: lambda now, seat, generation, got: members.ack_came(now, seat, got),
+            m.PingRequest: lambda now, seat, generation, got: members.ask_came(now, seat, got),
+            m.Nack: lambda now, seat, generation, got: members.nack_came(now, got),
+            m.Answer: lambda now, seat, generation, got: follower.answer_came(now, seat, got),
+            m.Piece: lambda now, seat, generation, got: follower.piece_came(now, got),
+            m.CommandResult: lambda now, seat, generation, got: self._said(got),
+            m.QuotaGrant: lambda now, seat, generation, got: self._grant_came(now, seat, got),
+            m.Fetch: lambda now, seat, generation, got: follower.fetch_came(now, seat, got),
         }
         if voter is not None:
             acts |= {
-                m.Prepare: lambda now, seat, life, got: voter.prepare_came(now, seat, got.ballot),
-                m.Propose: lambda now, seat, life, got: voter.propose_came(now, seat, got),
-                m.Release: lambda now, seat, life, got: voter.release_came(now, got.ballot),
-                m.Promise: lambda now, seat, life, got: candidate.promise_came(now, seat, life, got),
-                m.Refuse: lambda now, seat, life, got: candidate.refuse_came(now, got),
-                m.Accept: lambda now, seat, life, got: candidate.accept_came(now, seat, got),
-                m.Report: lambda now, seat, life, got: writer.report_came(now, seat, got),
-                m.Evidence: lambda now, seat, life, got: self._evidence_came(now, seat, got),
-                m.Wish: lambda now, seat, life, got: self._wish_came(now, seat, got),
-                m.Want: self._want_came,
-                m.Figures: self._figures_came,
-                m.Word: lambda now, seat, life, got: self._word_came(now, seat, got),
+                m.Prepare: lambda now, seat, generation, got: voter.prepare_came(now, seat, got.ballot),
+                m.Propose: lambda now, seat, generation, got: voter.propose_came(now, seat, got),
+                m.Release: lambda now, seat, generation, got: voter.release_came(now, got.ballot),
+                m.Promise: lambda now, seat, generation, got: candidate.promise_came(
+                    now, seat, generation, got
+                ),
+                m.Refuse: lambda now, seat, generation, got: candidate.refuse_came(now, got),
+                m.Accept: lambda now, seat, generation, got: candidate.accept_came(now, seat, got),
+                m.Report: lambda now, seat, generation, got: writer.report_came(now, seat, got),
+                m.HealthObservations: lambda now, seat, generation, got: self._evidence_came(now, seat, got),
+                m.OperatorCommand: lambda now, seat, generation, got: self._wish_came(now, seat, got),
+                m.QuotaRequest: self._want_came,
+                m.RolloutMetrics: self._figures_came,
+                m.RolloutCommand: lambda now, seat, generation, got: self._word_came(now, seat, got),
                 m.Piece: self._piece,
             }
         return acts
 
-    def _piece(self, now: float, seat: int, life: int, got: m.Piece) -> None:
+    def _piece(self, now: float, seat: int, generation: int, got: m.Piece) -> None:
         self.writer.piece_came(now, got)
         self.follower.piece_came(now, got)
 
-    def received(self, now: float, sender: int, life: int, incarnation: int, message: m.Message) -> None:
+    def received(
+        self, now: float, sender: int, generation: int, incarnation: int, message: m.Message
+    ) -> None:
         """A datagram's message, from a listed seat."""
         if sender >= self.seats:
             return
         if sender != self.seat:  # a candidate asks its own voter the same way as the others
-            self.members.heard(now, sender, life, incarnation)
+            self.members.heard(now, sender, generation, incarnation)
         if isinstance(message, m.Ping | m.Ack):
             self.follower.office_heard(now, message.office)
             if self.writer is not None:
                 self.writer.office_heard(now, self.follower.office)
         act = self._acts.get(type(message))
         if act is not None:
-            act(now, sender, life, message)
+            act(now, sender, generation, message)
 
     def coordinates(self, now: float) -> bool:
         return self.writer is not None and self.writer.in_office(now)
@@ -425,7 +440,7 @@
         return self.writer is not None and self.writer.set(now, name, section)
 
     def retuned(
-        self, *, period: float, answer: float, report: float, hold: float, zones: Terms | None = None
+        self, *, period: float, answer: float, report: float, hold: float, zones: ZonePolicy | None = None
     ) -> None:
         """Other lengths from now on; the lease's own stay for as long as the seat lives. Other terms for the
         same zones, where there are any."""
--- a/firwalk/cluster/health_observations.py
+++ b/firwalk/cluster/health_observations.py
@@ -9,7 +9,7 @@
 from bisect import insort
 from collections.abc import Callable
 
-from firwalk.cluster.messages import MOST_ZONES, Evidence
+from firwalk.cluster.messages import MOST_ZONES, HealthObservations
 from firwalk.cluster.zones import LEAST_TRIES, View
 
 ASKS_REPORTS = 6.0  # reports over which what the clients ask is averaged
@@ -18,7 +18,7 @@
 CARRY = 6  # reports over which too few tries for a voice add up, before they are forgotten
 
 
-class Watch:
+class HealthObserver:
     """`zone`: the node's own, by its number; `report`: seconds between two reports."""
 
     def __init__(self, zone: int, zones: int, now: float, report: float = 0.5):
@@ -64,10 +64,10 @@
             insort(self.starts[zone], after)
             self.views[zone].start = self.starts[zone][(len(self.starts[zone]) - 1) // 2]
 
-    def so_far(self, bears: list[float]) -> Evidence:
+    def so_far(self, bears: list[float]) -> HealthObservations:
         """What it met until now, out of turn: nothing is counted as told."""
         rows = [self._row(number, view, bears) for number, view in enumerate(self.views[:MOST_ZONES])]
-        return Evidence(self.zone, int(self.asks * MILLI), rows, True)
+        return HealthObservations(self.zone, int(self.asks * MILLI), rows, True)
 
     def _row(self, number: int, view: View, bears: list[float]) -> tuple[int, ...]:
         return (
@@ -79,7 +79,7 @@
             int(bears[number] * MILLI),
         )
 
-    def told(self, now: float, bears: list[float]) -> Evidence:
+    def told(self, now: float, bears: list[float]) -> HealthObservations:
         """What the next report says. Tries in a zone add up until there are enough for a voice. `bears`: what
         each zone's executors bear, warm."""
         self._measure_asks(now)
@@ -90,7 +90,7 @@
             self.last[number], self.spoke_against[number] = view, view.bad()
             if view.tried >= LEAST_TRIES or self.carried[number] > CARRY:
                 self.views[number], self.starts[number], self.carried[number] = View(), [], 0
-        return Evidence(self.zone, int(self.asks * MILLI), rows)
+        return HealthObservations(self.zone, int(self.asks * MILLI), rows)
 
     def _measure_asks(self, now: float) -> None:
         """Work over time, both of them fading: a report that comes late, or right behind another, weighs what
@@ -105,7 +105,7 @@
         self.work, self.span = self.work * fade, self.span * fade
 
 
-def views(message: Evidence) -> tuple[float, dict[int, View]]:
+def views(message: HealthObservations) -> tuple[float, dict[int, View]]:
     """What it asks, and its view of each zone."""
     return message.asks / MILLI, {
         number: View(tried, missed, erred, start / MILLI, bears / MILLI)
--- a/firwalk/cluster/lease.py
+++ b/firwalk/cluster/lease.py
@@ -13,7 +13,7 @@
 
 from firwalk.cluster.host import Host
 from firwalk.cluster.messages import NOBODY, Accept, Ballot, Prepare, Promise, Propose, Refuse, Release
-from firwalk.cluster.random_source import Chance
+from firwalk.cluster.random_source import RandomSource
 
 RENEWALS = 3  # in one length
 TURN = 0.1  # of a length: how far the first tries after a lease's end are spread
@@ -23,12 +23,12 @@
 MOST_AHEAD = 2**32  # counts that a stranger's ballot may be ahead: a wild one must not use them all up
 
 
-class Voter:
+class Acceptor:
     """`length`: the longest lease that this voter grants. It has no memory of a life before, so it grants
     nothing until all that it may have granted then is over by any clock."""
 
-    def __init__(self, host: Host, life: int, now: float, *, length: float, drift: float):
-        self.host, self.life, self.length = host, life, length
+    def __init__(self, host: Host, generation: int, now: float, *, length: float, drift: float):
+        self.host, self.generation, self.length = host, generation, length
         self.quiet_until = now + length * (1 + drift) / (1 - drift)
         self.promised, self.accepted, self.last = NOBODY, NOBODY, NOBODY
         self.accepted_until = 0.0
@@ -50,7 +50,7 @@
         ballot = message.ballot
         if (
             now < self.quiet_until
-            or message.life != self.life
+            or message.generation != self.generation
             or ballot < self.promised
             or ballot <= self.last
             or message.length > self.length * 1e3
@@ -66,7 +66,7 @@
             self.accepted = NOBODY
 
 
-class Candidate:
+class Proposer:
     """The side that wants the lease, holds it and renews it. `until` is on the own clock and on the safe
     side; whoever acts as holder asks `holds` at that very moment, since a process may have slept."""
 
@@ -74,15 +74,15 @@
         self,
         host: Host,
         seat: int,
-        life: int,
+        generation: int,
         voters: list[int],
-        voter: Voter,
-        chance: Chance,
+        voter: Acceptor,
+        chance: RandomSource,
         *,
         length: float,
         drift: float,
     ):
-        self.host, self.seat, self.life, self.voters, self.voter = host, seat, life, voters, voter
+        self.host, self.seat, self.generation, self.voters, self.voter = host, seat, generation, voters, voter
         self.chance, self.length = chance, length
         self.own = length * (1 - drift) / (1 + drift)
         self.count = 0
@@ -121,7 +121,7 @@
             self._try(now)
         else:
             held = self.voter.holder(now)
-            if held is not None and held[1:] != (self.seat, self.life):
+            if held is not None and held[1:] != (self.seat, self.generation):
                 self.busy_with(held)
                 again = self.voter.accepted_until + TURN * self.length * self.chance.part()
                 self.tries = 0
@@ -137,7 +137,7 @@
 
     def _try(self, now: float) -> None:
         self.count = max(self.count, self.voter.promised[0]) + 1
-        self.ballot = (self.count, self.seat, self.life)
+        self.ballot = (self.count, self.seat, self.generation)
         self.open, self.granted, self.proposing = {}, {}, False
         for seat in self.voters:
             self.host.tell(seat, Prepare(self.ballot))
@@ -145,25 +145,25 @@
     def _majority(self, of: dict[int, None]) -> bool:
         return len(of) > len(self.voters) // 2
 
-    def promise_came(self, now: float, sender: int, life: int, message: Promise) -> None:
+    def promise_came(self, now: float, sender: int, generation: int, message: Promise) -> None:
         if message.accepted is not None:
             self.met(message.accepted)
         if message.ballot != self.ballot or sender not in self.voters or not self.active:
             return
-        if message.accepted is not None and message.accepted[1:] != (self.seat, self.life):
+        if message.accepted is not None and message.accepted[1:] != (self.seat, self.generation):
             self.busy_with(message.accepted)
             return
-        self.open[sender] = life
+        self.open[sender] = generation
         if self.proposing:
-            self._propose(sender, life)
+            self._propose(sender, generation)
         elif self._majority(self.open):
             # Counted from before the first proposal is sent: each voter's own time begins later.
             self.proposing, self.began = True, now
             for seat, its_life in self.open.items():
                 self._propose(seat, its_life)
 
-    def _propose(self, seat: int, life: int) -> None:
-        self.host.tell(seat, Propose(self.ballot, int(self.length * 1e3), life))
+    def _propose(self, seat: int, generation: int) -> None:
+        self.host.tell(seat, Propose(self.ballot, int(self.length * 1e3), generation))
 
     def refuse_came(self, now: float, message: Refuse) -> None:
         self.met(message.highest)
--- a/firwalk/cluster/members.py
+++ b/firwalk/cluster/members.py
@@ -13,8 +13,8 @@
 from math import ceil, log, log10
 
 from firwalk.cluster.host import Host, State
-from firwalk.cluster.messages import MOST_NEWS, NOBODY, Ack, Ask, Ballot, Nack, News, Ping
-from firwalk.cluster.random_source import Chance
+from firwalk.cluster.messages import MOST_NEWS, NOBODY, Ack, Ballot, MembershipUpdate, Nack, Ping, PingRequest
+from firwalk.cluster.random_source import RandomSource
 
 HELPERS = 3  # others that are asked to ask one that does not answer
 SUSPECT_TIMES = 4.0  # periods, times the logarithm of the fleet, that a suspected one has at least
@@ -29,12 +29,12 @@
     """One seat as this node sees it."""
 
     def __init__(self, seat: int):
-        self.seat, self.state, self.incarnation, self.life = seat, State.DOWN, 0, 0
+        self.seat, self.state, self.incarnation, self.generation = seat, State.DOWN, 0, 0
         self.met = False  # anything was heard of it at all
         self.suspected_at, self.suspecters = 0.0, {}
 
-    def word(self) -> News:
-        return self.seat, self.incarnation, self.life, int(self.state)
+    def word(self) -> MembershipUpdate:
+        return self.seat, self.incarnation, self.generation, int(self.state)
 
 
 class Probe:
@@ -49,12 +49,20 @@
     """`period`: seconds between questions; `answer`: seconds in which one is answered directly."""
 
     def __init__(
-        self, host: Host, seat: int, seats: int, life: int, chance: Chance, *, period: float, answer: float
+        self,
+        host: Host,
+        seat: int,
+        seats: int,
+        generation: int,
+        chance: RandomSource,
+        *,
+        period: float,
+        answer: float,
     ):
         self.host, self.chance, self.period, self.answer = host, chance, period, answer
         self.all = [Member(number) for number in range(seats)]
         self.me = self.all[seat]
-        self.me.state, self.me.life, self.me.met = State.UP, life, True
+        self.me.state, self.me.generation, self.me.met = State.UP, generation, True
         self.health, self.number, self.rounds, self.turn = 0, 0, 0, 0
         self.order: list[Member] = []
         self.entry = seat  # where the next entries of the table are taken from
@@ -138,7 +146,7 @@
         )
         probe.helpers = len(helpers)
         for helper in helpers:
-            self.host.tell(helper.seat, Ask(probe.number, probe.member.seat, self._news(helper)))
+            self.host.tell(helper.seat, PingRequest(probe.number, probe.member.seat, self._news(helper)))
 
     def _over(self, now: float, probe: Probe) -> None:
         self.probes.pop(probe.number, None)
@@ -181,35 +189,43 @@
 
     # -- what comes --------------------------------------------------------------------------------------
 
-    def heard(self, now: float, seat: int, life: int, incarnation: int) -> bool:
+    def heard(self, now: float, seat: int, generation: int, incarnation: int) -> bool:
         """Any datagram's head. False: it comes from before what is known of the seat."""
         member = self.all[seat]
         known = member.met and member.incarnation
         if member.met and (
-            incarnation < known or incarnation == known and member.state >= State.DOWN and life == member.life
+            incarnation < known
+            or incarnation == known
+            and member.state >= State.DOWN
+            and generation == member.generation
         ):
             return False  # it is told so by the answer, and goes above that
-        if member.met and incarnation == known and life == member.life:
+        if member.met and incarnation == known and generation == member.generation:
             return True  # a suspicion is its own to answer
-        if member.met and incarnation == known and life != member.life and member.life:
+        if member.met and incarnation == known and generation != member.generation and member.generation:
             return False  # two lives of one seat: the new one goes above the old one when it is told
-        self._alive(now, member, incarnation, life)
+        self._alive(now, member, incarnation, generation)
         return True
 
-    def _alive(self, now: float, member: Member, incarnation: int, life: int) -> None:
-        new = member.life != life
+    def _alive(self, now: float, member: Member, incarnation: int, generation: int) -> None:
+        new = member.generation != generation
         before = member.state
-        member.state, member.incarnation, member.life, member.met = State.UP, incarnation, life, True
+        member.state, member.incarnation, member.generation, member.met = (
+            State.UP,
+            incarnation,
+            generation,
+            True,
+        )
         member.suspecters = {}
         self._note(member)
         if new or before is not State.UP:
-            self.host.event("up", seat=member.seat, incarnation=incarnation, life=life, new=new)
+            self.host.event("up", seat=member.seat, incarnation=incarnation, life=generation, new=new)
 
     def ping_came(self, now: float, sender: int, message: Ping) -> None:
         self.news_came(now, message.news, sender)
         self.host.tell(sender, Ack(message.number, self.office(), self._news(self.all[sender])))
 
-    def ask_came(self, now: float, sender: int, message: Ask) -> None:
+    def ask_came(self, now: float, sender: int, message: PingRequest) -> None:
         self.news_came(now, message.news, sender)
         if message.seat >= len(self.all) or self.all[message.seat] is self.me:
             return
@@ -236,16 +252,16 @@
         if probe is not None:
             probe.nacks += 1
 
-    def news_came(self, now: float, news: list[News], sender: int) -> None:
-        for seat, incarnation, life, state in news:
+    def news_came(self, now: float, news: list[MembershipUpdate], sender: int) -> None:
+        for seat, incarnation, generation, state in news:
             if seat < len(self.all):
-                self._news_of(now, self.all[seat], incarnation, life, State(state), sender)
+                self._news_of(now, self.all[seat], incarnation, generation, State(state), sender)
 
     def _news_of(
-        self, now: float, member: Member, incarnation: int, life: int, state: State, sender: int
+        self, now: float, member: Member, incarnation: int, generation: int, state: State, sender: int
     ) -> None:
         if member is self.me:
-            self._news_of_me(now, incarnation, life, state)
+            self._news_of_me(now, incarnation, generation, state)
             return
         known = (member.incarnation, member.state) if member.met else (-1, State.UP)
         if (incarnation, state) <= known:
@@ -254,9 +270,9 @@
                 self._timer(now, self._look, (member, incarnation))
             return
         if state is State.UP:
-            self._alive(now, member, incarnation, life)
+            self._alive(now, member, incarnation, generation)
             return
-        member.incarnation, member.life, member.met = incarnation, life, True
+        member.incarnation, member.generation, member.met = incarnation, generation, True
         if state is State.SUSPECTED:
             self._suspect(now, member, sender)
             return
@@ -265,9 +281,9 @@
         if before < State.DOWN:
             self.host.event(state.name.lower(), seat=member.seat, incarnation=incarnation)
 
-    def _news_of_me(self, now: float, incarnation: int, life: int, state: State) -> None:
+    def _news_of_me(self, now: float, incarnation: int, generation: int, state: State) -> None:
         """What others think of this node; a former life's word counts as well, and is gone above."""
-        mine = life == self.me.life
+        mine = generation == self.me.generation
         if (
             self.leaving
             or incarnation < self.me.incarnation
@@ -286,7 +302,7 @@
     def _note(self, member: Member) -> None:
         self.fresh[member] = SPREAD * ceil(log10(len(self.all) + 1))
 
-    def _news(self, to: Member) -> list[News]:
+    def _news(self, to: Member) -> list[MembershipUpdate]:
         """What it is thought of the other one itself first, then the freshest, then the table in turn."""
         chosen = {to: None} if to.met and to is not self.me else {}
         for member in sorted(self.fresh, key=self.fresh.__getitem__, reverse=True):
--- a/firwalk/cluster/messages.py
+++ b/firwalk/cluster/messages.py
@@ -26,37 +26,37 @@
 MOST_NAME = 40  # letters of a change's name
 PIECE = 176  # bytes of a plan in one of them
 
-Seat = Annotated[int, Meta(ge=0, le=65535)]
+NodeId = Annotated[int, Meta(ge=0, le=65535)]
 Count = Annotated[int, Meta(ge=0, le=2**48)]
-Life = Annotated[int, Meta(ge=0, le=2**32 - 1)]
+Generation = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 State = Annotated[int, Meta(ge=0, le=3)]
-Ballot = tuple[Count, Seat, Life]  # compared in this order
-News = tuple[Seat, Count, Life, State]  # a seat, its incarnation, its life, how it is
+Ballot = tuple[Count, NodeId, Generation]  # compared in this order
+MembershipUpdate = tuple[NodeId, Count, Generation, State]  # a seat, its incarnation, its life, how it is
 NOBODY: Ballot = (0, 0, 0)
 
 
-class Unreadable(Exception):
+class MalformedMessage(Exception):
     """Bytes that are no message of this fleet and version; the text is a word for the count of such."""
 
 
 class Ping(Struct, array_like=True, tag=1):
     number: Count
     office: Ballot = NOBODY  # the term of the newest coordinator that the sender knows of
-    news: list[News] = []
+    news: list[MembershipUpdate] = []
 
 
 class Ack(Struct, array_like=True, tag=2):
     number: Count
     office: Ballot = NOBODY
-    news: list[News] = []
+    news: list[MembershipUpdate] = []
 
 
-class Ask(Struct, array_like=True, tag=3):
+class PingRequest(Struct, array_like=True, tag=3):
     """Ask `seat` for me whether it is there."""
 
     number: Count
-    seat: Seat
-    news: list[News] = []
+    seat: NodeId
+    news: list[MembershipUpdate] = []
 
 
 class Nack(Struct, array_like=True, tag=4):
@@ -88,7 +88,7 @@
 
     ballot: Ballot
     length: Count
-    life: Life
+    generation: Generation
 
 
 class Accept(Struct, array_like=True, tag=9):
@@ -123,7 +123,7 @@
     version: Count
     number: Annotated[int, Meta(ge=0, lt=MOST_PIECES)]
     count: Annotated[int, Meta(ge=1, le=MOST_PIECES)]
-    check: Life  # CRC of the whole
+    check: Generation  # CRC of the whole
     data: Annotated[bytes, Meta(max_length=PIECE)]
 
 
@@ -138,7 +138,7 @@
 Amount = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 
 
-class Evidence(Struct, array_like=True, tag=15):
+class HealthObservations(Struct, array_like=True, tag=15):
     """What the sender met in each zone since it told last: (zone, tried, found nobody, erred, median start in
     milliseconds, work a second that it bears in thousandths). `asks`: its clients' work, in thousandths.
     `early`: out of turn, and told once more with the next report."""
@@ -149,7 +149,7 @@
     early: bool = False
 
 
-class Wish(Struct, array_like=True, tag=16):
+class OperatorCommand(Struct, array_like=True, tag=16):
     """An operator's, from any node to the coordinator: `word` is drain, restore or dry."""
 
     number: Count
@@ -157,7 +157,7 @@
     zone: Small
 
 
-class Said(Struct, array_like=True, tag=17):
+class CommandResult(Struct, array_like=True, tag=17):
     """What the coordinator says to a wish; `done` false: with the reason why not."""
 
     number: Count
@@ -168,62 +168,62 @@
 Micro = Annotated[int, Meta(ge=0, le=2**48)]  # millionths of work a second
 
 
-class Want(Struct, array_like=True, tag=18):
+class QuotaRequest(Struct, array_like=True, tag=18):
     """What the sender's clients ask for of budgets. `check`: of the contracts that it goes by; `ready`: of
     the newest that it has; `rows`: (team, want, how many marks ago the question was whose answer it acts on,
     what it has). 0 marks ago: no answer to an earlier question counts for it any more. `first`, `last`: the
     marks of all that is asked in one turn."""
 
     mark: Count
-    check: Life
-    ready: Life
+    check: Generation
+    ready: Generation
     rows: Annotated[list[tuple[Small, Micro, Count, Micro]], Meta(max_length=MOST_ROWS)]
     first: Count = 0
     last: Count = 0
 
 
-class Grant(Struct, array_like=True, tag=19):
+class QuotaGrant(Struct, array_like=True, tag=19):
     """The coordinator's answer: `length` in milliseconds from when the mark was made; (team, its part)."""
 
     mark: Count
-    check: Life
+    check: Generation
     length: Count
     rows: Annotated[list[tuple[Small, Micro]], Meta(max_length=MOST_ROWS)]
 
 
-class Figures(Struct, array_like=True, tag=20):
+class RolloutMetrics(Struct, array_like=True, tag=20):
     """What the sender counted since its life began: (checksum of the offering's name, tasks, late, abandoned,
     bounced, errors, assignments, finished, sum of the logarithms of milliseconds in thousandths, that of
     their squares). `change`: the number of the change that it follows; `release`, `tag`: checksums of what it
     runs; `memory` in tenths of a megabyte; `contracts`: the version of those that it goes by, 0: none."""
 
     change: Count
-    release: Life
-    tag: Life
+    release: Generation
+    tag: Generation
     zone: Small
     memory: Small
     rows: Annotated[
-        list[tuple[Life, Count, Count, Count, Count, Count, Count, Count, Count, Count]],
+        list[tuple[Generation, Count, Count, Count, Count, Count, Count, Count, Count, Count]],
         Meta(max_length=MOST_COUNTED),
     ]
-    contracts: Life = 0
+    contracts: Generation = 0
 
 
-class Word(Struct, array_like=True, tag=21):
+class RolloutCommand(Struct, array_like=True, tag=21):
     """On a change, from any node to the coordinator, which says something to it (`Said`). `word`: start,
     hold, resume, back, failed, page, dry. `check`: of the file, or a number with the word."""
 
     number: Count
     word: Annotated[str, Meta(max_length=8)]
     name: Annotated[str, Meta(max_length=MOST_NAME)] = ""
-    check: Life = 0
+    check: Generation = 0
     text: Annotated[str, Meta(max_length=100)] = ""
 
 
 Message = (
     Ping
     | Ack
-    | Ask
+    | PingRequest
     | Nack
     | Prepare
     | Promise
@@ -235,27 +235,27 @@
     | Answer
     | Piece
     | Fetch
-    | Evidence
-    | Wish
-    | Said
-    | Want
-    | Grant
-    | Figures
-    | Word
+    | HealthObservations
+    | OperatorCommand
+    | CommandResult
+    | QuotaRequest
+    | QuotaGrant
+    | RolloutMetrics
+    | RolloutCommand
 )
-NEWS = (Ping, Ack, Ask)  # the kinds that carry news
+NEWS = (Ping, Ack, PingRequest)  # the kinds that carry news
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
-def fleet_mark(name: str) -> int:
+def cluster_checksum(name: str) -> int:
     return crc32(name.encode())
 
 
-def packed(fleet: int, seat: int, life: int, incarnation: int, message: Message) -> bytes:
+def encode(fleet: int, seat: int, generation: int, incarnation: int, message: Message) -> bytes:
     """The bytes of a datagram; news that do not fit are left out, the last ones first."""
-    head = HEAD.pack(VERSION, fleet, seat, life, incarnation)
+    head = HEAD.pack(VERSION, fleet, seat, generation, incarnation)
     data = head + _encoder.encode(message)
     while len(data) > LONGEST and isinstance(message, NEWS) and message.news:
         over = (len(data) - LONGEST) // 16 + 1
@@ -264,21 +264,21 @@
     return data
 
 
-def unpacked(fleet: int, data: bytes) -> tuple[int, int, int, Message]:
+def decode(fleet: int, data: bytes) -> tuple[int, int, int, Message]:
     """Seat, life and incarnation of the sender, and the message; Unreadable."""
     if len(data) > LONGEST:
-        raise Unreadable("too long")
+        raise MalformedMessage("too long")
     if len(data) < HEAD.size:
-        raise Unreadable("cut short")
-    version, mark, seat, life, incarnation = HEAD.unpack_from(data)
+        raise MalformedMessage("cut short")
+    version, mark, seat, generation, incarnation = HEAD.unpack_from(data)
     if version != VERSION:
-        raise Unreadable("another version")
+        raise MalformedMessage("another version")
     if mark != fleet:
-        raise Unreadable("another fleet")
+        raise MalformedMessage("another fleet")
     try:
         message = _decoder.decode(memoryview(data)[HEAD.size :])
     except (msgspec.DecodeError, RecursionError):
-        raise Unreadable("garbage") from None
+        raise MalformedMessage("garbage") from None
     if isinstance(message, NEWS) and len(message.news) > MOST_NEWS:
-        raise Unreadable("garbage")
-    return seat, life, incarnation, message
+        raise MalformedMessage("garbage")
+    return seat, generation, incarnation, message
--- a/firwalk/cluster/node_id_ranges.py
+++ b/firwalk/cluster/node_id_ranges.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-def spelled(seats: list[int]) -> str:
+def encode_ranges(seats: list[int]) -> str:
     found: list[list[int]] = []
     for seat in sorted(seats):
         if found and seat == found[-1][1] + 1:
@@ -13,7 +13,7 @@
     return ",".join(f"{a}-{b}" if b > a else f"{a}" for a, b in found)
 
 
-def read(text: str) -> list[int]:
+def decode_ranges(text: str) -> list[int]:
     """The reverse; ValueError."""
     found: list[int] = []
     for part in text.split(",") if text else []:
--- a/firwalk/cluster/plan.py
+++ b/firwalk/cluster/plan.py
@@ -17,9 +17,9 @@
 import msgspec
 
 from firwalk.cluster.host import Host
-from firwalk.cluster.lease import MOST_AHEAD, Candidate
+from firwalk.cluster.lease import MOST_AHEAD, Proposer
 from firwalk.cluster.messages import MOST_PIECES, NOBODY, PIECE, Answer, Ballot, Fetch, Piece, Report
-from firwalk.cluster.random_source import Chance
+from firwalk.cluster.random_source import RandomSource
 
 Stamp = tuple[Ballot, int]
 NONE: Stamp = (NOBODY, 0)
@@ -30,7 +30,7 @@
 PAUSE = 0.005  # seconds
 
 
-class TooLong(Exception):
+class PlanTooLarge(Exception):
     """A plan that does not fit its pieces; nothing of it was taken."""
 
 
@@ -38,7 +38,7 @@
     """TooLong; the same bytes for the same sections, whatever their order."""
     text = msgspec.json.encode(sections, order="deterministic")
     if len(text) > MOST_PIECES * PIECE:
-        raise TooLong(f"a plan of {len(text)} bytes; the most is {MOST_PIECES * PIECE}")
+        raise PlanTooLarge(f"a plan of {len(text)} bytes; the most is {MOST_PIECES * PIECE}")
     return text
 
 
@@ -47,7 +47,7 @@
     return [Piece(*stamp, number, len(parts), crc32(text), part) for number, part in enumerate(parts)]
 
 
-class Parts:
+class PlanAssembly:
     """A plan that is put together, beside the one that is followed."""
 
     def __init__(self, first: Piece):
@@ -68,16 +68,16 @@
         return text if crc32(text) == self.check else None
 
 
-class Follower:
+class PlanFollower:
     """`report`: seconds between questions to the coordinator; `hold`: seconds for which an answer is good."""
 
-    def __init__(self, host: Host, seat: int, chance: Chance, *, report: float, hold: float):
+    def __init__(self, host: Host, seat: int, chance: RandomSource, *, report: float, hold: float):
         self.host, self.seat, self.chance, self.report, self.hold = host, seat, chance, report, hold
         self.stamp: Stamp = NONE
         self.text, self.sections = b"{}", {}
         self.until, self.taken_at, self.over = 0.0, 0.0, True
         self.office: Ballot = NOBODY  # the newest coordinator's term that was heard of
-        self.parts: Parts | None = None
+        self.parts: PlanAssembly | None = None
         self.mark, self.marks = chance.whole(), {}
         self.good_from: dict[Stamp, float] = {}  # plans that were in force then, by the coordinator's answer
         self.hurried: Stamp = NONE  # the plan for which it asked out of turn
@@ -183,7 +183,7 @@
         if stamp <= self.stamp:
             return
         if self.parts is None or stamp > self.parts.stamp:
-            self.parts = Parts(piece)
+            self.parts = PlanAssembly(piece)
         if stamp == self.parts.stamp:
             self.parts.add(piece)
             self._complete(now)
@@ -207,15 +207,15 @@
                 self.host.tell(sender, piece)
 
 
-class Writer:
+class PlanPublisher:
     """The coordinator's side; idle at all nodes but the one that holds the lease."""
 
     def __init__(
         self,
         host: Host,
-        candidate: Candidate,
-        follower: Follower,
-        chance: Chance,
+        candidate: Proposer,
+        follower: PlanFollower,
+        chance: RandomSource,
         up: Callable[[], list[int]],
     ):
         self.host, self.candidate, self.follower, self.chance, self.up = host, candidate, follower, chance, up
@@ -224,7 +224,7 @@
         self.text = b"{}"
         self.newest: Stamp = NONE  # of what others follow
         self.fetched: tuple[Stamp, bytes] | None = None
-        self.parts: Parts | None = None
+        self.parts: PlanAssembly | None = None
         self.began_at = 0.0
         self.asked: dict[str, Any] = {}  # changes that wait for the first plan
         self.follows: dict[int, Stamp] = {}  # by seat, as last reported
@@ -320,7 +320,7 @@
         stamp = (piece.term, piece.version)
         if self.version or stamp != self.newest or not self.in_office(now):
             return
-        self.parts = self.parts or Parts(piece)
+        self.parts = self.parts or PlanAssembly(piece)
         self.parts.add(piece)
         text = self.parts.whole()
         if text is not None:
--- a/firwalk/cluster/plan_enforcement.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -10,9 +10,9 @@
 
 from typing import Any, Protocol
 
-from firwalk.cluster.cluster_member import Seat
-from firwalk.cluster.health_observations import Watch
-from firwalk.cluster.messages import Evidence
+from firwalk.cluster.cluster_member import ClusterMember
+from firwalk.cluster.health_observations import HealthObserver
+from firwalk.cluster.messages import HealthObservations
 from firwalk.cluster.zones import Mode, followed
 
 MIX = 200.0  # tasks over which the mix is remembered
@@ -20,19 +20,19 @@
 COME_BACK = 2.0  # reports after which one that was turned away may come again, on the mean
 
 
-class Steered(Protocol):
+class EnforcedDispatcher(Protocol):
     """What is asked of the desk."""
 
-    seen: Any
-    terms_of: Any
-    node: Any
+    health_observer: Any
+    cluster_admission: Any
+    policy: Any
 
-    def zones_bear(self, count: int) -> list[float]: ...
+    def zone_capacities(self, count: int) -> list[float]: ...
 
-    def shun(self, zones: list[int]) -> None: ...
+    def exclude_zones(self, zones: list[int]) -> None: ...
 
 
-class Mix:
+class PriorityMix:
     """Which part of the work that comes has which importance; old work fades."""
 
     def __init__(self) -> None:
@@ -56,39 +56,56 @@
         return min(max((part * self.whole - below) / mine, 0.0), 1.0)
 
 
-class Steering:
+class PlanEnforcer:
     """One life of a seat and its node's decisions. `zone`: the node's own, of so many `zones`, 0: that part
     is off; `spending`: the part for budgets, if it is on (`firwalk.cluster.quota_accounting`)."""
 
-    def __init__(self, seat: Seat, desk: Steered, zone: int, zones: int, now: float, spending: Any = None):
-        self.seat, self.desk, self.zone, self.zones, self.spending = seat, desk, zone, zones, spending
-        self.parts, self.away, self.out, self.mix = [(1.0, zone)], 0.0, [], Mix()
+    def __init__(
+        self,
+        seat: ClusterMember,
+        dispatcher: EnforcedDispatcher,
+        zone: int,
+        zones: int,
+        now: float,
+        spending: Any = None,
+    ):
+        self.seat, self.dispatcher, self.zone, self.zones, self.spending = (
+            seat,
+            dispatcher,
+            zone,
+            zones,
+            spending,
+        )
+        self.parts, self.away, self.out, self.mix = [(1.0, zone)], 0.0, [], PriorityMix()
         self.reached = [True] * zones  # by what this node met itself
-        desk.terms_of, seat.follower.changed = self.terms, self.follow
+        dispatcher.cluster_admission, seat.follower.changed = self.admission_weight, self.follow
         if zones:
-            desk.seen, seat.evidence = Watch(zone, zones, now, seat.follower.report), self._tells
-            seat.early, desk.seen.alarm = self._tells_early, seat.tell_early
+            dispatcher.health_observer, seat.evidence = (
+                HealthObserver(zone, zones, now, seat.follower.report),
+                self._tells,
+            )
+            seat.early, dispatcher.health_observer.alarm = self._tells_early, seat.tell_early
 
     def stop(self) -> None:
         """Zones: as without a plan. Budgets: nothing more is there, floors neither; a node that ends goes on
         taking tasks for a while, and served a team's flood without any bound then."""
-        self.zones, self.desk.seen = 0, None
-        self.desk.shun([])
+        self.zones, self.dispatcher.health_observer = 0, None
+        self.dispatcher.exclude_zones([])
         if self.spending is None:
-            self.desk.terms_of = None
+            self.dispatcher.cluster_admission = None
         else:
             self.spending.end()
 
-    def _tells(self, now: float) -> Evidence:
-        told = self.desk.seen.told(now, self.desk.zones_bear(self.zones))
-        for number, view in enumerate(self.desk.seen.last):
+    def _tells(self, now: float) -> HealthObservations:
+        told = self.dispatcher.health_observer.told(now, self.dispatcher.zone_capacities(self.zones))
+        for number, view in enumerate(self.dispatcher.health_observer.last):
             if view.tried:
                 self.reached[number] = not view.bad()
         self._shun()
         return told
 
-    def _tells_early(self) -> Evidence:
-        return self.desk.seen.so_far(self.desk.zones_bear(self.zones))
+    def _tells_early(self) -> HealthObservations:
+        return self.dispatcher.health_observer.so_far(self.dispatcher.zone_capacities(self.zones))
 
     def follow(self, now: float) -> None:
         """The plan's part for zones; without one in force all is near, and nothing is turned away."""
@@ -116,24 +133,26 @@
         """Zones that get nothing at all: each node that finds out for itself loses tasks there. One that is
         away and that this node reaches all the same (it is on its side of a cut, or it is just back) stays
         in its choice; nobody's own view overrides an operator's word."""
-        self.desk.shun([number for number, drained in self.out if drained or not self.reached[number]])
+        self.dispatcher.exclude_zones(
+            [number for number, drained in self.out if drained or not self.reached[number]]
+        )
 
-    def terms(self, task: Any) -> float:
+    def admission_weight(self, request: Any) -> float:
         """Times its value; 0: it is turned away, and told when to come again."""
-        if self.zones and not self._placed(task):
+        if self.zones and not self._placed(request):
             return 0.0
-        return 1.0 if self.spending is None else self.spending.terms(task, *task.ref.about)
+        return 1.0 if self.spending is None else self.spending.admission_weight(request, *request.ref.labels)
 
-    def _placed(self, task: Any) -> bool:
+    def _placed(self, request: Any) -> bool:
         """Its home is the zone that it calls its own; False: the fleet has no room for it."""
-        importance, draw = task.offering.importance, task.draw * HOMES % 1.0
-        self.mix.add(importance, task.work)
+        importance, draw = request.request_class.priority_weight, request.draw * HOMES % 1.0
+        self.mix.add(importance, request.work)
         home = next((zone for upto, zone in self.parts if draw < upto), self.zone)
-        draw = task.draw * TURNS % 1.0
+        draw = request.draw * TURNS % 1.0
         if not self.away or draw >= self.mix.turned_away(self.away, importance):
-            task.home = self.desk.node.zones.get(home)
+            request.preferred_zone = self.dispatcher.policy.zones.get(home)
             return True
         if self.reached[self.zone] and not any(zone == self.zone and drained for zone, drained in self.out):
             return True  # what fits nowhere stays near, where the zone can be reached
-        task.ref.advice = COME_BACK * self.seat.follower.report * (0.5 + draw)
+        request.ref.retry_after = COME_BACK * self.seat.follower.report * (0.5 + draw)
         return False
--- a/firwalk/cluster/quota_accounting.py
+++ b/firwalk/cluster/quota_accounting.py
@@ -10,9 +10,9 @@
 
 from firwalk.broker.contracts import Contracts
 from firwalk.broker.ledger import Ledger, Reservation
-from firwalk.cluster.cluster_member import Seat
-from firwalk.cluster.node_id_ranges import read
-from firwalk.cluster.quotas import Offer, beside, in_force
+from firwalk.cluster.cluster_member import ClusterMember
+from firwalk.cluster.node_id_ranges import decode_ranges
+from firwalk.cluster.quotas import ContractSet, beside, in_force
 
 KEPT = 4  # contracts that a node keeps: those in force, and what may come after
 DAY = 86400.0
@@ -20,10 +20,10 @@
 MOST_LOGGED = 10  # teams of which there are such lines
 
 
-def offered(contracts: Contracts, seats: int, floor: float, unix: Callable[[], float]) -> Offer:
+def offered(contracts: Contracts, seats: int, floor: float, unix: Callable[[], float]) -> ContractSet:
     """What a coordinator leases: each whole but for the floors that all nodes have for good."""
     wholes = [team.rate() - int(team.rate() * floor) // seats * seats for team in contracts.teams]
-    return Offer(
+    return ContractSet(
         contracts.version,
         contracts.check(),
         tuple(team.name for team in contracts.teams),
@@ -44,13 +44,13 @@
         self.reservation.settle(self.clock(), spent, bool(measured))
 
 
-class Spending:
+class QuotaAccounting:
     """`clock`: the seat's; `unix`: the wall clock, by which alone a coordinator tells whether contracts have
     begun; `find`: contracts of a version that a change brings, by their file, if it is there."""
 
     def __init__(
         self,
-        seat: Seat,
+        seat: ClusterMember,
         clock: Callable[[], float],
         unix: Callable[[], float],
         find: Callable[[int], Contracts | None] = lambda version: None,
@@ -74,7 +74,7 @@
             self.ledger.change(self.clock(), contracts)
         self.seat.has_contracts(offered(contracts, self.seat.seats, self.floor, self.unix))
 
-    def _found(self, version: int) -> Offer | None:
+    def _found(self, version: int) -> ContractSet | None:
         """Those of a change: kept, and never put in force for being newer."""
         contracts = self.find(version)
         if contracts is None or contracts.version != version:
@@ -93,7 +93,7 @@
         version, check = in_force(told)
         other, named = beside(told)
         try:
-            goes = named and change["kind"] == "contracts" and self.seat.seat in read(change["new"])
+            goes = named and change["kind"] == "contracts" and self.seat.seat in decode_ranges(change["new"])
         except (KeyError, TypeError, ValueError):
             goes = False
         if goes and (named in self.known or self._found(other) is not None and named in self.known):
@@ -133,28 +133,28 @@
             known=contracts is not None,
         )
 
-    def terms(self, task: Any, offering: str, team: str) -> float:
+    def admission_weight(self, task: Any, offering: str, team: str) -> float:
         """Times its value; 0: it is beyond its budget and is told when to come again. Reserves its estimate
         otherwise."""
-        now, contracts, errand = self.clock(), self.ledger.contracts, task.ref
+        now, contracts, pending = self.clock(), self.ledger.contracts, task.ref
         if contracts is None:
             return 1.0
         account = self.ledger.account(now, team)
         if account is None:
-            errand.advice = DAY
+            pending.retry_after = DAY
             return 1.0 if contracts.others == "serve" else 0.0
         if account.team.offerings and offering not in account.team.offerings:
-            errand.advice = DAY
+            pending.retry_after = DAY
             return 0.0
         work = account.weighed(task.work)
         if account.may_begin() and account.reserve(now, work):
             sure = account.within(now, work)
-            errand.charge = Charge(Reservation(account, work, sure, task.work), self.clock)
+            pending.charge = Charge(Reservation(account, work, sure, task.work), self.clock)
             return 1.0 if sure else account.team.spare
         account.beyond += work
         if account.team.beyond == "lower":
             return account.team.importance
-        errand.advice = account.wait(now, work)
+        pending.retry_after = account.wait(now, work)
         return 0.0
 
     def _turned(self, now: float) -> None:
--- a/firwalk/cluster/quotas.py
+++ b/firwalk/cluster/quotas.py
@@ -15,7 +15,7 @@
 from typing import Any, Protocol
 
 from firwalk.cluster.host import Host
-from firwalk.cluster.messages import MOST_ROWS, NOBODY, Ballot, Grant, Want
+from firwalk.cluster.messages import MOST_ROWS, NOBODY, Ballot, QuotaGrant, QuotaRequest
 
 ASKS, MOST_WAIT = 4, 0.5  # questions in one length, and the seconds between them at most
 LEAST = 0.02  # of the whole: the least want that counts, for a node that just began
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class QuotaPolicy:
     """`length`: seconds of a part's lease; `floor`: part of each whole that is the nodes' for good."""
 
     length: float = 6.0
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Offer:
+class ContractSet:
     """Contracts as a coordinator needs them. `wholes`: by team, what of its budget is leased."""
 
     version: int
@@ -55,10 +55,10 @@
     begun: Callable[[], bool] = lambda: True
 
 
-class Holder:
+class QuotaClient:
     """Every node's side: asks for parts, and has them until their time is over by its own clock."""
 
-    def __init__(self, host: Host, terms: Terms, office: Callable[[], Ballot]):
+    def __init__(self, host: Host, terms: QuotaPolicy, office: Callable[[], Ballot]):
         self.host, self.terms, self.office = host, terms, office
         self.purses: Callable[[], list[Purse]] = list
         self.turned: Callable[[float], None] = lambda now: None
@@ -110,9 +110,9 @@
                     del self.asking[team]
                     self.acts_on[team] = self.mark
                 told.append((team, want, self.mark - self.acts_on.get(team, 0), has))
-            self.host.tell(office[1], Want(self.mark, self.check, self.ready, told, first, last))
+            self.host.tell(office[1], QuotaRequest(self.mark, self.check, self.ready, told, first, last))
 
-    def grant_came(self, now: float, sender: int, got: Grant) -> None:
+    def grant_came(self, now: float, sender: int, got: QuotaGrant) -> None:
         """Counted from the question, and never instead of the answer to a later one."""
         since = self.marks.get(got.mark)
         if since is None or got.check != self.check or sender != self.asked[1] or self.office() != self.asked:
@@ -194,7 +194,7 @@
         held.counted, held.wanted = live, wanted
 
 
-class Dealer:
+class QuotaAllocator:
     """The coordinator's side, for one office. `seats`: all that may have anything; `beside`: contracts that
     go through the fleet by stages, so that some nodes go by these and others by `offer`. Then each node gets
     its part of the whole of its own contracts, and all together never more than the larger whole: a budget
@@ -203,10 +203,10 @@
     def __init__(
         self,
         now: float,
-        terms: Terms,
-        offer: Offer,
+        terms: QuotaPolicy,
+        offer: ContractSet,
         seats: Callable[[], list[int]],
-        beside: Offer | None = None,
+        beside: ContractSet | None = None,
     ):
         self.terms, self.seats = terms, seats
         self._take(offer, beside)
@@ -217,7 +217,7 @@
         self.told: dict[int, None] = {}  # seats that told all that they have
         self._begin(now)
 
-    def _take(self, offer: Offer, beside: Offer | None) -> None:
+    def _take(self, offer: ContractSet, beside: ContractSet | None) -> None:
         self.sides = {one.check: one for one in (offer, beside) if one is not None}
         names = dict.fromkeys(name for one in self.sides.values() for name in one.names)
         self.numbers = {name: number for number, name in enumerate(names)}  # of the books
@@ -231,7 +231,7 @@
         self.renews_until = now + self.terms.length * (1 + self.terms.drift) / (1 - self.terms.drift)
         self.turns, self.told = {}, {}
 
-    def changed(self, now: float, offer: Offer, beside: Offer | None = None) -> None:
+    def changed(self, now: float, offer: ContractSet, beside: ContractSet | None = None) -> None:
         """Other contracts. What is out of a team goes on counting under its number in the new ones, and
         waits out a whole that got smaller; what is out of teams that are gone ends by itself. A team that is
         gone and comes again may have parts out that no book knows: nothing new until those are over."""
@@ -248,20 +248,20 @@
             self.renews = waiting | {name: None for name in self.numbers if name not in before}
         self._begin(now)
 
-    def _heard(self, seat: int, life: int, got: Want) -> None:
+    def _heard(self, seat: int, generation: int, got: QuotaRequest) -> None:
         """Once all seats have told all that they have, nothing is out that no book knows."""
         if seat in self.told or not got.first <= got.mark <= got.last:
             return
         before = self.turns.get(seat)
-        marks = before[2] if before is not None and before[:2] == (life, got.first) else {}
+        marks = before[2] if before is not None and before[:2] == (generation, got.first) else {}
         marks[got.mark] = None
-        self.turns[seat] = life, got.first, marks
+        self.turns[seat] = generation, got.first, marks
         if len(marks) == got.last - got.first + 1:
             self.told[seat] = None
             if all(other in self.told for other in self.seats()):
                 self.renews_until = 0.0
 
-    def want_came(self, now: float, seat: int, life: int, got: Want) -> Grant | None:
+    def want_came(self, now: float, seat: int, generation: int, got: QuotaRequest) -> QuotaGrant | None:
         side = self.sides.get(got.check)
         if side is None:
             return None
@@ -270,7 +270,7 @@
             if team < len(side.wholes):
                 part = self._deal(
                     now,
-                    (seat, life),
+                    (seat, generation),
                     got.mark,
                     side.names[team],
                     side.wholes[team],
@@ -281,8 +281,8 @@
                 if part is not None:
                     rows.append((team, part))
         if now < self.renews_until:
-            self._heard(seat, life, got)
-        return Grant(got.mark, got.check, int(self.terms.length * 1e3), rows) if rows else None
+            self._heard(seat, generation, got)
+        return QuotaGrant(got.mark, got.check, int(self.terms.length * 1e3), rows) if rows else None
 
     def _deal(
         self, now: float, key: Key, mark: int, name: str, whole: int, want: int, acts_on: int, has: int
@@ -325,7 +325,7 @@
         return min(int(my * SPARE), whole * my // (book.wants - mine.wanted + my))
 
 
-def section(offer: Offer, beside: Offer | None = None) -> dict[str, Any]:
+def section(offer: ContractSet, beside: ContractSet | None = None) -> dict[str, Any]:
     """Of the plan: which contracts are in force, and which go through the fleet beside them."""
     told: dict[str, Any] = {"version": offer.version, "check": offer.check}
     return told | {"beside": [beside.version, beside.check]} if beside is not None else told
--- a/firwalk/cluster/random_source.py
+++ b/firwalk/cluster/random_source.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 
-class Chance:
+class RandomSource:
     def __init__(self, seed: int):
         self.seed, self.counter = seed, 0
 
--- a/firwalk/cluster/rollout.py
+++ b/firwalk/cluster/rollout.py
@@ -14,9 +14,9 @@
 from typing import Any, Protocol
 from zlib import crc32
 
-from firwalk.cluster.canary_analysis import ALL, Comparison, Key, Pasts, Row, Verdict, Worse
-from firwalk.cluster.messages import Figures
-from firwalk.cluster.node_id_ranges import read, spelled
+from firwalk.cluster.canary_analysis import ALL, CanaryAnalysis, HarmThresholds, Key, Pasts, Row, Verdict
+from firwalk.cluster.messages import RolloutMetrics
+from firwalk.cluster.node_id_ranges import decode_ranges, encode_ranges
 
 KEYS = (
     "number",
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class RolloutPolicy:
     """`at_once`: part of a zone's nodes that go over at a time; `settle`: seconds that a node must have told
     from the new version before the next ones go; `names`: the zones'."""
 
@@ -76,7 +76,7 @@
     """What a node told last."""
 
     at: float
-    life: int
+    generation: int
     release: int
     tag: int
     contracts: int
@@ -146,18 +146,18 @@
     if isinstance(stage, list):
         strange = [seat for seat in stage if seat not in zone_of]
         if strange:
-            raise ValueError(f"there is no seat {spelled(strange)}")
+            raise ValueError(f"there is no seat {encode_ranges(strange)}")
         return stage
     count = ceil(stage * len(zone_of)) if isinstance(stage, float) else stage
     return order[:count]
 
 
-class Roll:
+class Rollout:
     """The coordinator's side. `section`: what the plan says of the change, {} before the first one."""
 
     def __init__(
         self,
-        terms: Terms,
+        terms: RolloutPolicy,
         voters: list[int],
         seats: int,
         named: Callable[[str], tuple[Wanted | None, int, list[str]]],
@@ -167,7 +167,11 @@
         self.section: dict[str, Any] = {}
         self.told: dict[int, Told] = {}
         self.change: Wanted | None = None
-        self.comparison, self.whole, self.past = Comparison(Worse(), 1), Comparison(Worse(), 1), Pasts()
+        self.comparison, self.whole, self.past = (
+            CanaryAnalysis(HarmThresholds(), 1),
+            CanaryAnalysis(HarmThresholds(), 1),
+            Pasts(),
+        )
         self.stages: list[list[int]] = []
         self.ordered_at: dict[int, float] = {}  # by seat, when the plan named it, or named it no more
         self.stage_at: float | None = None  # when all of the stage were on the new version
@@ -176,10 +180,10 @@
 
     # -- what comes ----------------------------------------------------------------------------------------
 
-    def figures_came(self, now: float, seat: int, life: int, got: Figures) -> None:
+    def figures_came(self, now: float, seat: int, generation: int, got: RolloutMetrics) -> None:
         before = self.told.get(seat)
-        same = before is not None and (before.life, before.release, before.tag, before.contracts) == (
-            life,
+        same = before is not None and (before.generation, before.release, before.tag, before.contracts) == (
+            generation,
             got.release,
             got.tag,
             got.contracts,
@@ -187,7 +191,7 @@
         told = (
             before
             if same
-            else Told(now, life, got.release, got.tag, got.contracts, got.zone, got.memory, since=now)
+            else Told(now, generation, got.release, got.tag, got.contracts, got.zone, got.memory, since=now)
         )
         told.at, told.zone, told.memory = now, got.zone, got.memory
         for offering, *counts, times, squares in got.rows:
@@ -219,10 +223,10 @@
             return "only one node is up: with its process the change itself would be forgotten"
         silent = [seat for seat in up if not self._fresh(now, seat)]
         if silent:
-            return f"seats {spelled(silent)} tell nothing yet of what they run; ask again"
+            return f"seats {encode_ranges(silent)} tell nothing yet of what they run; ask again"
         other = [seat for seat in up if not self._runs(seat, change, change.before)]
         if other:
-            return f"seats {spelled(other)} do not run {change.before}"
+            return f"seats {encode_ranges(other)} do not run {change.before}"
         try:
             sets(change.stages, self._zones(), self.voters, self.terms.names)
         except ValueError as problem:
@@ -256,7 +260,7 @@
         self.stages = sets(change.stages, self._zones(), self.voters, self.terms.names)
         self.section["of"] = len(self.stages)
         self.past = Pasts()
-        if not read(self.section["new"]):  # of those that went over a new coordinator knows no past
+        if not decode_ranges(self.section["new"]):  # of those that went over a new coordinator knows no past
             for seat, told in self.told.items():
                 for row in told.past():
                     self.past.add(told.zone, seat, row)
@@ -307,7 +311,7 @@
         self.change, self.section = None, {}
         if isinstance(section, dict) and set(KEYS) <= set(section) and len(section["zones"]) == self.seats:
             self.section = dict(section)
-            self.ordered_at = dict.fromkeys(read(section["new"]), now)
+            self.ordered_at = dict.fromkeys(decode_ranges(section["new"]), now)
             self.stage_at, self.passed = None, -1
 
     def look(self, now: float, up: list[int], unfit: str) -> dict[str, Any]:
@@ -330,7 +334,7 @@
             self._with(now, change)
 
     def _forward(self, now: float, up: list[int], unfit: str) -> None:
-        named = read(self.section["new"])
+        named = decode_ranges(self.section["new"])
         new = [seat for seat in named if seat in up]
         reason = unfit or self._zone_down(up) or self._lag(now, new)
         if not reason:
@@ -362,7 +366,7 @@
         if last or verdict is Verdict.FINE or self.passed == stage:
             # Seats that are down are named too: they come up on the new version.
             self._report()
-            named = dict.fromkeys(read(self.section["new"]) + self.stages[stage])
+            named = dict.fromkeys(decode_ranges(self.section["new"]) + self.stages[stage])
             self._order(now, list(named))
             self.section = {**self.section, "stage": stage + (not last)}
             self._state(DONE if last else GOING, "", "")
@@ -373,7 +377,7 @@
 
     def _backward(self, now: float, up: list[int]) -> None:
         """A zone at a time, but for a second voter; who is silent holds nobody up for long."""
-        new = read(self.section["new"])
+        new = decode_ranges(self.section["new"])
         out = [seat for seat in up if not self._old(now, seat) and seat not in new]
         if any(now < self.ordered_at.get(seat, now) + BACK_PATIENCE for seat in out):
             for seat in out:
@@ -448,7 +452,7 @@
             for seat in new
             if now >= self.ordered_at.get(seat, now) + PATIENCE and not self._settled(now, seat)
         ]
-        return f"seats {spelled(late)} do not go over" if late else ""
+        return f"seats {encode_ranges(late)} do not go over" if late else ""
 
     def _hold_for(self, reason: str) -> None:
         if (
@@ -478,11 +482,11 @@
         return []
 
     def _order(self, now: float, seats: list[int]) -> None:
-        before = read(self.section["new"])
+        before = decode_ranges(self.section["new"])
         changed = [seat for seat in seats if seat not in before] + [s for s in before if s not in seats]
         if changed:
             self.ordered_at |= dict.fromkeys(changed, now)
-            self.section = {**self.section, "new": spelled(seats)}
+            self.section = {**self.section, "new": encode_ranges(seats)}
             self._changed()
 
     def _state(self, state: str, why: str, by: str) -> None:
@@ -510,7 +514,7 @@
     def _most(self) -> int:
         """Nodes that the stage allows."""
         if not self.stages or self.section["state"] not in (GOING, HELD):
-            return len(read(self.section["new"]))
+            return len(decode_ranges(self.section["new"]))
         return len(self._stage())
 
     def _stage(self) -> list[int]:
@@ -528,14 +532,14 @@
         # Of the nodes that joined at this stage: those before would hide what shows on some alone; and of all
         # that are new, for what shows late. Two looks share the chance of a false stop.
         self.comparison, self.whole = (
-            Comparison(self.change.compare.worse(), 2 * len(self.stages), self.past) for _ in range(2)
+            CanaryAnalysis(self.change.compare.worse(), 2 * len(self.stages), self.past) for _ in range(2)
         )
         for told in self.told.values():
             told.seen = dict(told.rows)
 
     def _compare(self, now: float, up: list[int]) -> None:
         """What came since the last look, of the zones in which both versions are at work."""
-        new = read(self.section["new"])
+        new = decode_ranges(self.section["new"])
         sides: dict[int, list[tuple[int, bool]]] = {}
         for seat in up:
             is_new = seat in new and self._settled(now, seat)
@@ -603,12 +607,17 @@
         lines = []
         for number, stage in enumerate(found):
             more = [seat for seat in stage if seat not in before]
-            lines.append(f"stage {number + 1} of {len(found)}: {len(stage)} nodes, new are {spelled(more)}")
+            lines.append(
+                f"stage {number + 1} of {len(found)}: {len(stage)} nodes, new are {encode_ranges(more)}"
+            )
             before = stage
         zones = self._zones()
         lone = [seat for seat in up if not [o for o in up if o != seat and zones[o] == zones[seat]]]
         lines += (
-            [f"seats {spelled(lone)} are alone in their zones: nobody is beside them while they go over"]
+            [
+                f"seats {encode_ranges(lone)} are alone in their zones: "
+                "nobody is beside them while they go over"
+            ]
             if lone
             else []
         )
--- a/firwalk/cluster/rollout_controller.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -13,15 +13,15 @@
 
 from firwalk.cluster import messages as m
 from firwalk.cluster.canary_analysis import Row
-from firwalk.cluster.node_id_ranges import read
-from firwalk.cluster.rollout import BACK, CONTRACTS, DONE, GOING, HELD, STOPPED, Roll, Terms
+from firwalk.cluster.node_id_ranges import decode_ranges
+from firwalk.cluster.rollout import BACK, CONTRACTS, DONE, GOING, HELD, STOPPED, Rollout, RolloutPolicy
 
 SELDOM = 10  # reports between two tellings while nothing is changed
 MILLI = 1e3
 MOST_TIMES = 2**48  # of a sum that is told
 
 
-class Tally:
+class RolloutCounters:
     """Counts final answers and what they took; the desk tells of each."""
 
     def __init__(self) -> None:
@@ -71,27 +71,27 @@
         ]
 
 
-class Changing:
+class RolloutController:
     """One life of a seat. `release` and `tag`: what this process runs, and its configuration's tag; `zone`:
     the node's; `memory()` in bytes; `named(name)` gives a change, its file's checksum, and its faults."""
 
     def __init__(
         self,
         seat: Any,
-        tally: Tally,
+        tally: RolloutCounters,
         release: str,
         tag: Callable[[], str],
         zone: int,
         memory: Callable[[], float],
-        terms: Terms,
+        terms: RolloutPolicy,
         named: Callable[[str], tuple[Any, int, list[str]]],
     ):
         self.seat, self.tally, self.release, self.tag, self.zone = seat, tally, release, tag, zone
         self.memory, self.turn, self.was, self.told_to = memory, 0, ("", 0), m.NOBODY
         self.contracts_version: Callable[[], int] = lambda: 0  # of those that this node goes by
-        self.roll: Roll | None = None
+        self.roll: Rollout | None = None
         if seat.writer is not None:
-            self.roll = Roll(terms, seat.candidate.voters, seat.seats, named, seat.host.event)
+            self.roll = Rollout(terms, seat.candidate.voters, seat.seats, named, seat.host.event)
         seat.changing = self
 
     def start(self, now: float) -> None:
@@ -116,7 +116,7 @@
         if section is None:
             return "hold"
         try:
-            new = self.seat.seat in read(section["new"])
+            new = self.seat.seat in decode_ranges(section["new"])
             what = section["what"] if new else section["before"]
             if section["kind"] == CONTRACTS:
                 return "nothing"  # the node itself goes over; its agent has no part in that
@@ -142,19 +142,19 @@
         section = self.section(now) or {}
         return section.get("state") in (GOING, HELD, BACK)
 
-    def figures(self, now: float) -> list[m.Figures]:
+    def figures(self, now: float) -> list[m.RolloutMetrics]:
         rows = self.tally.rows()
         parts = [rows[at : at + m.MOST_COUNTED] for at in range(0, len(rows), m.MOST_COUNTED)] or [[]]
         number = (self.section(now) or {}).get("number", 0)
         memory = min(int(self.memory() / 1e5), 65535)
         runs = crc32(self.release.encode()), crc32(self.was[0].encode())
-        return [m.Figures(number, *runs, self.zone, memory, part, self.was[1]) for part in parts]
+        return [m.RolloutMetrics(number, *runs, self.zone, memory, part, self.was[1]) for part in parts]
 
     # -- the coordinator's ---------------------------------------------------------------------------------
 
-    def came(self, now: float, seat: int, life: int, got: m.Figures) -> None:
+    def came(self, now: float, seat: int, generation: int, got: m.RolloutMetrics) -> None:
         if self.roll is not None and self.seat.writer.in_office(now):
-            self.roll.figures_came(now, seat, life, got)
+            self.roll.figures_came(now, seat, generation, got)
 
     def opened(self, now: float, section: Any) -> None:
         if self.roll is not None:
@@ -186,7 +186,7 @@
         section = self.roll.look(now, up, unfit)
         return {"stages": section} if section else {}
 
-    def word_came(self, now: float, seat: int, got: m.Word) -> tuple[bool, str]:
+    def word_came(self, now: float, seat: int, got: m.RolloutCommand) -> tuple[bool, str]:
         """An operator's word, or an agent's, at the coordinator: whether it is done, and what is said."""
         roll, up = self.roll, self.seat.members.up()
         if roll is None or not self.seat.writer.in_office(now) or not self.seat.writer.version:
--- a/firwalk/cluster/zones.py
+++ b/firwalk/cluster/zones.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class ZonePolicy:
     """The operators' part: `regions` gives each zone's region; `head_room` is the most of a zone that may
     be used; zones in `stays` send nothing out of their region; `order` names, for a region, those to go to
     first; `drained`: zones that are to be out."""
@@ -122,7 +122,7 @@
 class Zones:
     """The coordinator's side."""
 
-    def __init__(self, terms: Terms):
+    def __init__(self, terms: ZonePolicy):
         self.terms = terms
         self.all = [Zone(number, region) for number, region in enumerate(terms.regions)]
         self.told: dict[int, Told] = {}
--- a/firwalk/config/node_config.py
+++ b/firwalk/config/node_config.py
@@ -7,13 +7,13 @@
 
 import orjson
 
-from firwalk.policy.interface import Effect, Group, Host
-from firwalk.policy.policy import Node, Offering, Tenant
+from firwalk.policy.interface import DeduplicationScope, Host, Idempotency
+from firwalk.policy.policy import Policy, RequestClass, Tenant
 
 MICRO = 1e-6
 ZONES = 2  # of the new shape of deployment
-EFFECTS = {"safe": Effect.IDEMPOTENT, "keyed": Effect.FINGERPRINTED, "unsafe": Effect.SIDE_EFFECTING}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+EFFECTS = {"safe": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "unsafe": Idempotency.NON_IDEMPOTENT}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 SIZED = ("nominal", "rough")  # kinds of weights in the list that are an executor's size
 # What a running node can take over; of its own keys the last two mean something at a start.
 LIVE = ("discovery", "known", "seed", "tag")
@@ -45,7 +45,7 @@
 ABOVE_ZERO = ("due-time-us", "expiry-us")  # in each offering
 LEAST_SOCKETS = 32  # descriptors with which a node can serve one client at all: most are its own
 # The words of load reports: those of the settings, and those that executors use on sockets.
-REPORT_WORDS = {
+LOAD_REPORT_FIELDS = {
     "rif": "held",
     "inflight": "held",
     "busy": "busy",
@@ -59,7 +59,7 @@
 
 
 def _number(least: float, most: float = 1e12, whole: bool = False) -> Callable[[object], str]:
-    def check(value: object) -> str:
+    def validate(value: object) -> str:
         fits = isinstance(value, int if whole else int | float) and not isinstance(value, bool)
         return (
             ""
@@ -67,7 +67,7 @@
             else (f"{'a whole number' if whole else 'a number'} from {least:g} to {most:g}")
         )
 
-    return check
+    return validate
 
 
 def _word(*words: str) -> Callable[[object], str]:
@@ -216,7 +216,7 @@
     return faults
 
 
-def check(config: object) -> None:
+def validate(config: object) -> None:
     """ConfigurationError with a line for each fault."""
     faults = _faults(config)
     if faults:
@@ -242,9 +242,9 @@
     return faults
 
 
-def check_news(old: dict, new: object) -> None:
+def validate_reload(old: dict, new: object) -> None:
     """Stricter than at a start: a file that is cut short or lost a key must not change a node at work."""
-    check(new)
+    validate(new)
     faults = _lacking(old, new)
     if new["settings"].get("limits", {}).get("most-assignments", 1) is None:
         faults.append("settings.limits.most-assignments must be a whole number above 0")
@@ -255,7 +255,7 @@
 def load(path: str) -> dict:
     """The configuration in a file, checked."""
     config = read(path)
-    check(config)
+    validate(config)
     return config
 
 
@@ -264,32 +264,32 @@
         return orjson.loads(file.read())
 
 
-def in_short(problem: Exception) -> str:
+def one_line(problem: Exception) -> str:
     """A problem in one plain line."""
     return f"{type(problem).__name__}: {' '.join(str(problem).split())}"
 
 
-def in_lines(problem: Exception) -> list[str]:
+def error_lines(problem: Exception) -> list[str]:
     """The same; each fault of a configuration in a line of its own."""
-    return problem.faults if isinstance(problem, ConfigurationError) else [in_short(problem)]
+    return problem.faults if isinstance(problem, ConfigurationError) else [one_line(problem)]
 
 
 # -- from settings to a node -----------------------------------------------------------------------------
 
 
-def _offerings(settings: dict) -> list[Offering]:
+def _offerings(settings: dict) -> list[RequestClass]:
     family = settings.get("specifics", {})
     stretch, kinds = family.get("class-stretch", []), family.get("class-kind", [])
     return [
-        Offering(
+        RequestClass(
             o.get("due-time-us", o.get("expiry-us", 0)) * MICRO,
             o.get("expiry-us", 0) * MICRO,
-            importance=o.get("importance", 1.0),
-            effect=EFFECTS.get(o.get("repeat"), Effect.SIDE_EFFECTING),
-            group=GROUPS.get(o.get("group"), Group.CELL),
-            remembered=o.get("key-ttl-us", 0) * MICRO,
-            stretch=o.get("aim-stretch", stretch[i] if i < len(stretch) else 0.0),
-            kind=kinds[i] if i < len(kinds) else -1,
+            priority_weight=o.get("importance", 1.0),
+            idempotency=EFFECTS.get(o.get("repeat"), Idempotency.NON_IDEMPOTENT),
+            deduplication_scope=GROUPS.get(o.get("group"), DeduplicationScope.CELL),
+            key_ttl=o.get("key-ttl-us", 0) * MICRO,
+            objective_stretch=o.get("aim-stretch", stretch[i] if i < len(stretch) else 0.0),
+            work_kind=kinds[i] if i < len(kinds) else -1,
         )
         for i, o in enumerate(settings.get("offerings", []))
     ]
@@ -299,7 +299,7 @@
     """The figures that a running node can take over, as `Node` calls them."""
     limits, prices = settings.get("limits", {}), settings.get("prices", {})
     return {
-        "offerings": _offerings(settings),
+        "request_classes": _offerings(settings),
         "tenants": [Tenant(t.get("quota-per-s", 0.0)) for t in settings.get("tenants", [])],
         "most": limits.get("most-assignments", 1),
         "longest_advice": limits.get("max-retry-after-us", 0) * MICRO if limits.get("retry-after") else 0.0,
@@ -310,24 +310,27 @@
     }
 
 
-def retune(node: Node, old: dict, new: dict) -> None:
+def reconfigure(node: Policy, old: dict, new: dict) -> None:
     """Gives a running node new settings; offerings that stay by name keep what they learnt."""
     figures = _tunable(new)
     before = {
-        o.get("name"): offering for o, offering in zip(old.get("offerings", []), node.offerings, strict=True)
+        o.get("name"): request_class
+        for o, request_class in zip(old.get("offerings", []), node.request_classes, strict=True)
     }
-    for o, offering in zip(new.get("offerings", []), figures["offerings"], strict=True):
+    for o, request_class in zip(new.get("offerings", []), figures["request_classes"], strict=True):
         learnt = before.get(o.get("name"))
         for word in LEARNT if learnt is not None else ():
-            setattr(offering, word, getattr(learnt, word))
-        if learnt is not None and learnt.expiry != offering.expiry:
-            offering.most = 0.0  # of the budgets met, which follow the expiry
-    node.retuned(**figures)
+            setattr(request_class, word, getattr(learnt, word))
+        if learnt is not None and learnt.deadline != request_class.deadline:
+            request_class.most = 0.0  # of the budgets met, which follow the expiry
+    node.reconfigure(**figures)
 
 
 def longest_deadline(settings: dict) -> float:
     """Seconds that a request of the deployment is waited for at most."""
-    return max(offering.get("expiry-us", 0) for offering in settings.get("offerings") or [{}]) * MICRO
+    return (
+        max(request_class.get("expiry-us", 0) for request_class in settings.get("offerings") or [{}]) * MICRO
+    )
 
 
 def needs_restart(old: dict, new: dict) -> list[str]:
@@ -347,10 +350,10 @@
     return [name for part in parts for name in part]
 
 
-def build_node(host: Host, seed: int, settings: dict, now: float) -> Node:
+def build_policy(host: Host, seed: int, settings: dict, now: float) -> Policy:
     """What the settings leave out gets the value that promises least."""
     limits, rules = settings.get("limits", {}), settings.get("guarantees", {})
-    return Node(
+    return Policy(
         host,
         seed,
         now,
--- a/firwalk/config/operations.py
+++ b/firwalk/config/operations.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct, structs
 
 from firwalk.cluster.messages import MOST_ZONES
-from firwalk.cluster.zones import Terms
+from firwalk.cluster.zones import ZonePolicy
 from firwalk.config import validation
 
 Span = Annotated[float, Meta(gt=0, le=600)]  # seconds
@@ -96,11 +96,11 @@
         if wrong:
             raise ValueError("\n".join(wrong))
 
-    def terms(self, names: list[str]) -> Terms:
+    def terms(self, names: list[str]) -> ZonePolicy:
         """By the zones' numbers, which are their places in the settings."""
         regions = list(self.regions)
         of = {zone: number for number, zones in enumerate(self.regions.values()) for zone in zones}
-        return Terms(
+        return ZonePolicy(
             tuple(of.get(name, 0) for name in names),
             self.head_room,
             tuple(names.index(zone) for zone in self.stays),
@@ -134,7 +134,7 @@
     events: Literal["changes", "all"] = "changes"
 
 
-class Operations(Struct, frozen=True):
+class OperationsConfig(Struct, frozen=True):
     fleet: Fleet
     lease: Lease
     members: Members = Members()
@@ -145,9 +145,9 @@
     stages: Stages | None = None
 
 
-def load(path: str) -> tuple[Operations | None, list[str]]:
+def load(path: str) -> tuple[OperationsConfig | None, list[str]]:
     """The file, checked, and what is wrong with it, a line each. Files that it names lie beside it."""
-    told, faults = validation.from_toml(Operations, path)
+    told, faults = validation.load_toml(OperationsConfig, path)
     folder = os.path.dirname(os.path.abspath(path))
     if told is not None and told.budgets is not None:
         contracts = os.path.join(folder, told.budgets.contracts)
@@ -162,10 +162,12 @@
     from firwalk.broker import contracts
 
     told, faults = contracts.load(path)
-    return faults if told is None else [f"{path}: {line}" for line in contracts.misfits(told, settings)]
+    return (
+        faults if told is None else [f"{path}: {line}" for line in contracts.find_conflicts(told, settings)]
+    )
 
 
-def misfits(operations: Operations, config: dict) -> list[str]:
+def find_conflicts(operations: OperationsConfig, config: dict) -> list[str]:
     """What the file wants and the node's own configuration does not give, a line each."""
     settings, seats = config.get("settings", {}), len(config.get("peers") or [])
     wrong = []
--- a/firwalk/config/rollout_file.py
+++ b/firwalk/config/rollout_file.py
@@ -12,7 +12,7 @@
 
 from msgspec import Meta, Struct, field
 
-from firwalk.cluster.canary_analysis import Worse
+from firwalk.cluster.canary_analysis import HarmThresholds
 from firwalk.config import validation
 
 NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,39}$")
@@ -22,7 +22,7 @@
 Stage = str | int | float | list[int]
 
 
-class Compare(Struct, frozen=True):
+class CanaryLimits(Struct, frozen=True):
     """`seconds`: that a stage takes at least; `most`: after which it is held if it cannot be told. The rest:
     `firwalk.cluster.canary_analysis.Worse`; `memory`: times that of the old nodes."""
 
@@ -43,8 +43,8 @@
         if self.most < self.seconds:
             raise ValueError("most: must not be less than seconds")
 
-    def worse(self) -> Worse:
-        return Worse(
+    def worse(self) -> HarmThresholds:
+        return HarmThresholds(
             self.late,
             self.abandoned,
             self.bounced,
@@ -57,7 +57,7 @@
         )
 
 
-class Change(Struct, frozen=True):
+class RolloutSpec(Struct, frozen=True):
     """`release`, `settings` or `contracts` (a version; the file `contracts-VERSION.toml` beside this one):
     what all nodes come to have; `before`: what all have now."""
 
@@ -66,7 +66,7 @@
     settings: Word = ""
     contracts: Annotated[str, Meta(pattern=VERSION)] = ""
     stages: list[Stage] = field(default_factory=lambda: ["one", 0.1, "zone", 0.5, "all"])
-    compare: Compare = Compare()
+    compare: CanaryLimits = CanaryLimits()
 
     def __post_init__(self) -> None:
         wrong = []
@@ -104,17 +104,17 @@
     return "" if stage >= 1 else f"a number of nodes is wanted, not {stage}"
 
 
-def load(path: str) -> tuple[Change | None, int, list[str]]:
+def load(path: str) -> tuple[RolloutSpec | None, int, list[str]]:
     """The change, the checksum of its bytes, and what is wrong, a line each; with a fault there is none."""
     try:
         with open(path, "rb") as file:
             text = file.read()
     except OSError as problem:
         return None, 0, [f"{path}: {problem.strerror or problem}"]
-    change, faults = validation.from_text(Change, text, path)
+    change, faults = validation.parse_toml(RolloutSpec, text, path)
     if change is not None and change.contracts:
         beside = contracts_file(os.path.dirname(path), int(change.contracts))
-        told, faults = brought(beside)
+        told, faults = load_contracts(beside)
         if told is not None and told.version != int(change.contracts):
             faults = [f"{beside}: version: {told.version} is not {change.contracts}, as the file's name says"]
         change = None if faults else change
@@ -125,14 +125,14 @@
     return os.path.join(folder, f"contracts-{version}.toml")
 
 
-def brought(path: str) -> tuple[Any, list[str]]:
+def load_contracts(path: str) -> tuple[Any, list[str]]:
     """The contracts that a change brings, and what is wrong with them."""
     from firwalk.broker import contracts
 
     return contracts.load(path)
 
 
-def named(folder: str, name: str) -> tuple[Change | None, int, list[str]]:
+def load_by_name(folder: str, name: str) -> tuple[RolloutSpec | None, int, list[str]]:
     """The change of that name in the folder."""
     if not NAME.fullmatch(name):
         return None, 0, [f"{name!r:.50}: no name of a change; letters, digits and ._- are wanted, 40 at most"]
--- a/firwalk/config/validation.py
+++ b/firwalk/config/validation.py
@@ -12,27 +12,27 @@
 import msgspec
 
 
-def from_toml(kind: type, path: str) -> tuple[Any, list[str]]:
+def load_toml(kind: type, path: str) -> tuple[Any, list[str]]:
     """The value in the file, and what is wrong, a line each; with a fault the value is None."""
     try:
         with open(path, "rb") as file:
             text = file.read()
     except OSError as problem:
         return None, [f"{path}: {problem.strerror or problem}"]
-    return from_text(kind, text, path)
+    return parse_toml(kind, text, path)
 
 
-def from_text(kind: type, text: bytes, path: str) -> tuple[Any, list[str]]:
+def parse_toml(kind: type, text: bytes, path: str) -> tuple[Any, list[str]]:
     """The same of what was read of the file."""
     try:
         table = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
         return None, [f"{path}: not TOML: {' '.join(str(problem).split())}"]
-    value, faults = fitted(kind, table)
+    value, faults = convert(kind, table)
     return (value if not faults else None), [f"{path}: {fault}" for fault in faults]
 
 
-def fitted(kind: type, table: Any, where: str = "") -> tuple[Any, list[str]]:
+def convert(kind: type, table: Any, where: str = "") -> tuple[Any, list[str]]:
     """A Struct out of a table, field by field."""
     if not isinstance(table, dict):
         return None, [f"{where or 'it'}: a table is wanted, not {_shown(table)}"]
@@ -65,10 +65,10 @@
     if structs and get_origin(kind) is list:
         if not isinstance(value, list):
             return None, [f"{where}: a list of tables is wanted, not {_shown(value)}"]
-        pairs = [fitted(structs[0], entry, f"{where}[{number}]") for number, entry in enumerate(value)]
+        pairs = [convert(structs[0], entry, f"{where}[{number}]") for number, entry in enumerate(value)]
         return [pair[0] for pair in pairs], [fault for pair in pairs for fault in pair[1]]
     if structs and get_origin(kind) is not dict:
-        return fitted(structs[0], value, where)
+        return convert(structs[0], value, where)
     try:
         return msgspec.convert(value, kind), []
     except msgspec.ValidationError as problem:
--- a/firwalk/dispatcher/dispatcher.py
+++ b/firwalk/dispatcher/dispatcher.py
@@ -15,25 +15,30 @@
 from typing import Any
 from zlib import crc32
 
-from firwalk.config.node_config import REPORT_WORDS, build_node, retune
+from firwalk.config.node_config import LOAD_REPORT_FIELDS, build_policy, reconfigure
 from firwalk.dispatcher import failure_gossip
 from firwalk.dispatcher.maintenance import Maintenance
-from firwalk.observability.events import EventLog, Refusal
-from firwalk.observability.log import must
+from firwalk.observability.events import EventLog, FailureReason
+from firwalk.observability.log import check_invariant
 from firwalk.observability.monitor import Monitor, RequestRecord
-from firwalk.policy.interface import Condition, Effect, Outcome
-from firwalk.policy.policy import Assignment, Executor, Task
+from firwalk.policy.interface import EndpointState, Idempotency, Outcome
+from firwalk.policy.policy import Attempt, Executor, Request
 
-WAY_BACK = 0.02  # seconds kept for an answer's way to the client: at its expiry it would be too late
+RESPONSE_MARGIN_S = 0.02  # seconds kept for an answer's way to the client: at its expiry it would be too late
 FOR_GOOD = float("inf")  # until it is said otherwise
 LEAST_LEFT = 0.001  # seconds: what an executor is told of its time has no smaller part
 MOST_LOAD = 1e6  # figures of a load report beyond it (an infinite one, too) tell nothing
 LAST_WORD = 0.01  # seconds past a task's expiry, after its time-out
-LAST = (Outcome.FINISHED, Outcome.UNFIT)  # outcomes that end the task itself
-MISSED = (Outcome.NO_CONNECTION, Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.CANCELLED)  # nobody was found
+LAST = (Outcome.COMPLETED, Outcome.INVALID)  # outcomes that end the task itself
+MISSED = (
+    Outcome.CONNECT_FAILED,
+    Outcome.CONNECTION_LOST,
+    Outcome.TIMED_OUT,
+    Outcome.CANCELLED,
+)  # nobody was found
 
 
-class Step(IntEnum):
+class Action(IntEnum):
     """What is to be done next for a task."""
 
     SEND = 0  # number of the assignment, place, when it must have ended, whether it can never repeat
@@ -44,7 +49,7 @@
     UNFIT = 5  # an executor says that the task itself is bad
 
 
-class Chore(IntEnum):
+class BackgroundAction(IntEnum):
     """Standing work, of no task."""
 
     PROBE = 0  # place, seconds that it may take
@@ -55,44 +60,44 @@
     NOTE = 5  # a line
 
 
-class Place:
+class Endpoint:
     """Where an executor listens."""
 
     def __init__(self, name: str, address: tuple[str, int]):
         self.name, self.address = name, address
 
 
-class Errand:
+class PendingRequest:
     """A task at the door: the steps that wait to be picked, until its last assignment has ended."""
 
     def __init__(self) -> None:
-        self.task: Task | None = None
-        self.steps: deque[tuple] = deque()
+        self.request: Request | None = None
+        self.actions: deque[tuple] = deque()
         self.waiter: Future | None = None
-        self.begun: set[int] = set()  # assignments whose last byte may have been written
-        self.expiry = 0.0  # its own, also when the node must be gone before
-        self.began = 0.0  # when it came
-        self.advice = 0.0  # seconds that a bounce asks its client to stay away at least
-        self.about = ("", "")  # names of its offering and tenant
+        self.committed: set[int] = set()  # assignments whose last byte may have been written
+        self.deadline = 0.0  # its own, also when the node must be gone before
+        self.arrived_at = 0.0  # when it came
+        self.retry_after = 0.0  # seconds that a bounce asks its client to stay away at least
+        self.labels = ("", "")  # names of its offering and tenant
         self.charge: Any = None  # what is reserved for it of its team's budget
-        self.measured = 0.0  # work of the assignment that finished
+        self.measured_work = 0.0  # work of the assignment that finished
         self.record: RequestRecord | None = None  # what the checks at run time keep of it
-        self.refusal = Refusal.NO_EXECUTOR  # why it was given up, once it was
-        self.left: Callable[[], bool] = lambda: False  # whether its client has gone, read or not
+        self.failure_reason = FailureReason.NO_EXECUTOR  # why it was given up, once it was
+        self.has_client_left: Callable[[], bool] = lambda: False  # whether its client has gone, read or not
 
-    def stir(self) -> None:
+    def wake(self) -> None:
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
     def add(self, *step: Any) -> None:
-        self.steps.append(step)
-        self.stir()
+        self.actions.append(step)
+        self.wake()
 
-    def over(self) -> bool:
-        return not self.task.open and not self.task.still_out
+    def is_finished(self) -> bool:
+        return not self.request.is_open and not self.request.in_flight
 
 
-class Desk:
+class Dispatcher:
     """One node's decisions, and the host through which they act."""
 
     def __init__(self, settings: dict, seed: int, clock: Callable[[], float], wake: Callable[[], None]):
@@ -101,65 +106,69 @@
         self.monitor = Monitor(self.events, clock)
         self.timers: list[tuple] = []
         self.label, self.next = 0, float("inf")
-        self.chores: list[tuple] = []
-        self.ending: list[Assignment] = []
-        self.open: dict[Errand, None] = {}
-        self.closing_at = float("inf")
-        self.places: dict[str, Executor] = {}
+        self.background_actions: list[tuple] = []
+        self.ending: list[Attempt] = []
+        self.open_requests: dict[PendingRequest, None] = {}
+        self.shutdown_deadline = float("inf")
+        self.executors: dict[str, Executor] = {}
         self.maintenance = Maintenance()
-        self.entries: dict[str, tuple] = {}  # the list as it was told last
-        self.list_at = 0.0  # when a list came last
-        self.marks = failure_gossip.Marks()
-        self.seen: Any = None  # counts what is met in each zone, where the fleet decides on zones
-        self.tally: Any = None  # counts final answers, where changes go by stages
-        self.terms_of: Callable[[Task], float] | None = None  # what is decided in common on a task
+        self.endpoints: dict[str, tuple] = {}  # the list as it was told last
+        self.list_received_at = 0.0  # when a list came last
+        self.executor_index = failure_gossip.ExecutorIndex()
+        self.health_observer: Any = None  # counts what is met in each zone, where the fleet decides on zones
+        self.rollout_counters: Any = None  # counts final answers, where changes go by stages
+        self.cluster_admission: Callable[[Request], float] | None = (
+            None  # what is decided in common on a task
+        )
         self.version = 0
-        self.settings, self.vanished = settings, {}  # offerings that there are no more
+        self.settings, self.removed_classes = settings, {}  # offerings that there are no more
         self._name(settings)
         self.zones = {name: n for n, name in enumerate(settings.get("azs", []))}
         self.kinds = {name: n for n, name in enumerate(settings.get("kinds", []))}
         # A probe may wait in an executor's queue: it gets twice the time that a connection gets.
         self.probe_time = 2e-6 * settings.get("limits", {}).get("connect-timeout-us", 0) or 0.5
-        self.node = build_node(self, seed, settings, clock())
+        self.policy = build_policy(self, seed, settings, clock())
         if settings.get("discovery") != "ask":
-            self.watch(True)  # on sockets a list that the settings call pushed comes by a watch too
+            self.watch_endpoints(True)  # on sockets a list that the settings call pushed comes by a watch too
 
     def _name(self, settings: dict) -> None:
-        self.offerings = {o.get("name"): n for n, o in enumerate(settings.get("offerings", []))}
+        self.request_classes = {o.get("name"): n for n, o in enumerate(settings.get("offerings", []))}
         self.tenants = {t.get("name"): n for n, t in enumerate(settings.get("tenants", []))}
 
     def report_settings(self, settings: dict) -> None:
         """New settings, checked. What they leave out of the offerings is turned away from now on; tasks under
         way go on as they came."""
-        retune(self.node, self.settings, settings)
-        before, self.settings = self.offerings, settings
+        reconfigure(self.policy, self.settings, settings)
+        before, self.settings = self.request_classes, settings
         self._name(settings)
-        self.vanished = {name: None for name in (*self.vanished, *before) if name not in self.offerings}
+        self.removed_classes = {
+            name: None for name in (*self.removed_classes, *before) if name not in self.request_classes
+        }
         self._settle(self.clock())
 
-    def takes(self, offering: str) -> bool:
+    def has_request_class(self, request_class: str) -> bool:
         """Whether there is such an offering, or was one."""
-        return offering in self.offerings or offering in self.vanished
+        return request_class in self.request_classes or request_class in self.removed_classes
 
     # -- pick, tick ------------------------------------------------------------------------------------
 
-    async def pick(self, errand: Errand) -> tuple | None:
+    async def next_action(self, pending: PendingRequest) -> tuple | None:
         """Waits for the task's next step; None once nothing more can come."""
-        while not errand.steps:
-            if errand.over():
+        while not pending.actions:
+            if pending.is_finished():
                 return None
-            errand.waiter = get_running_loop().create_future()
-            await errand.waiter
-        return errand.steps.popleft()
+            pending.waiter = get_running_loop().create_future()
+            await pending.waiter
+        return pending.actions.popleft()
 
-    def tick(self) -> tuple[float, list[tuple]]:
+    def run_due_timers(self) -> tuple[float, list[tuple]]:
         """Runs due timers; tells when to come again and what standing work there is."""
         now = self.clock()
         while self.timers and self.timers[0][0] <= now:
             _, _, act, about = heappop(self.timers)
             act(now, about)
             self._settle(now)
-        chores, self.chores = self.chores, []
+        chores, self.background_actions = self.background_actions, []
         self.next = self.timers[0][0] if self.timers else float("inf")
         return self.next, chores
 
@@ -167,15 +176,15 @@
         """Gives assignments that were called off their outcome, outside the call that did so."""
         while self.ending:
             self._ended(now, self.ending.pop(0), Outcome.CANCELLED, None)
-        if self.chores or (self.timers and self.timers[0][0] < self.next):
+        if self.background_actions or (self.timers and self.timers[0][0] < self.next):
             self.next = float("-inf")
             self.wake()
 
     # -- report: what came -----------------------------------------------------------------------------
 
-    def report_task(
+    def report_request(
         self,
-        offering: str,
+        request_class: str,
         tenant: str,
         budget: float | None,
         cost: float,
@@ -186,146 +195,165 @@
         waited: float = 0.0,
         key: bytes = b"",
         request_id: str = "",
-    ) -> Errand | None:
+    ) -> PendingRequest | None:
         """A task was taken, some seconds ago; None where no such offering exists, or a fingerprint is needed
         and it is not `marked` by one. Its offering's budget is the most that it can have."""
-        number = self.offerings.get(offering)
-        if number is None or not marked and self.node.offerings[number].effect is Effect.FINGERPRINTED:
+        number = self.request_classes.get(request_class)
+        if (
+            number is None
+            or not marked
+            and self.policy.request_classes[number].idempotency is Idempotency.KEYED
+        ):
             return None
-        now, errand, most = self.clock(), Errand(), self.node.offerings[number].expiry
+        now, pending, most = self.clock(), PendingRequest(), self.policy.request_classes[number].deadline
         budget = (most if budget is None else min(budget, most or budget)) - waited
-        errand.expiry, errand.about = now + max(budget - WAY_BACK, 0.0), (offering, tenant)
-        errand.began = now - waited
-        budget = max(min(budget, self.closing_at - now) - WAY_BACK, 0.0)
-        errand.task = self.node.task_arrived(
-            now, errand, number, self.tenants.get(tenant, -1), budget, cost, slots, memory, again, key
+        pending.deadline, pending.labels = now + max(budget - RESPONSE_MARGIN_S, 0.0), (request_class, tenant)
+        pending.arrived_at = now - waited
+        budget = max(min(budget, self.shutdown_deadline - now) - RESPONSE_MARGIN_S, 0.0)
+        pending.request = self.policy.request_arrived(
+            now, pending, number, self.tenants.get(tenant, -1), budget, cost, slots, memory, again, key
         )
-        errand.record = self.monitor.taken(request_id, errand.task, errand.expiry + WAY_BACK)
-        if self.seen is not None and not again:  # what is turned away and comes again is asked for once
-            self.seen.arrived(errand.task.work)
-        if errand.task.open:
-            self.open[errand] = None
-            self.set_timer(errand.task.expiry + LAST_WORD, self._last_word, errand)
+        pending.record = self.monitor.taken(request_id, pending.request, pending.deadline + RESPONSE_MARGIN_S)
+        if (
+            self.health_observer is not None and not again
+        ):  # what is turned away and comes again is asked for once
+            self.health_observer.arrived(pending.request.work)
+        if pending.request.is_open:
+            self.open_requests[pending] = None
+            self.set_timer(pending.request.deadline + LAST_WORD, self._last_word, pending)
         self._settle(now)
-        return errand
+        return pending
 
-    def report_start(self, errand: Errand, number: int) -> None:
-        assignment = errand.task.assignments[number]
-        if assignment.out and not assignment.started_at:
+    def report_started(self, pending: PendingRequest, number: int) -> None:
+        attempt = pending.request.attempts[number]
+        if attempt.is_in_flight and not attempt.started_at:
             now = self.clock()
-            if self.seen is not None:
-                self.seen.started(self._zone(assignment.executor), now - assignment.sent, now)
-            self.node.started(now, assignment)
+            if self.health_observer is not None:
+                self.health_observer.started(self._zone(attempt.executor), now - attempt.sent_at, now)
+            self.policy.attempt_started(now, attempt)
             self._settle(now)
 
-    def report_progress(self, errand: Errand, number: int, share: float) -> None:
-        assignment = errand.task.assignments[number]
-        if assignment.out:
+    def report_progress(self, pending: PendingRequest, number: int, share: float) -> None:
+        attempt = pending.request.attempts[number]
+        if attempt.is_in_flight:
             now = self.clock()
-            assignment.executor.strikes = 0  # it works
+            attempt.executor.strikes = 0  # it works
             self._settle(now)
 
     def report_outcome(
-        self, errand: Errand, number: int, how: Outcome, load: dict | None = None, result: bytes = b""
+        self,
+        pending: PendingRequest,
+        number: int,
+        how: Outcome,
+        load: dict | None = None,
+        result: bytes = b"",
     ) -> None:
         """How an assignment ended; one that was called off has had its outcome already."""
-        assignment = errand.task.assignments[number]
-        if not assignment.out:
+        attempt = pending.request.attempts[number]
+        if not attempt.is_in_flight:
             return
-        now, wins = self.clock(), how in LAST and errand.task.open
-        self._ended(now, assignment, how, load)
-        if wins and how is Outcome.FINISHED:
-            errand.add(Step.FINISHED, result)
-            if self.tally is not None:
-                self.tally.finished(
-                    errand.about[0], len(errand.task.assignments), now - errand.began, now > errand.task.due
+        now, wins = self.clock(), how in LAST and pending.request.is_open
+        self._ended(now, attempt, how, load)
+        if wins and how is Outcome.COMPLETED:
+            pending.add(Action.FINISHED, result)
+            if self.rollout_counters is not None:
+                self.rollout_counters.finished(
+                    pending.labels[0],
+                    len(pending.request.attempts),
+                    now - pending.arrived_at,
+                    now > pending.request.objective_at,
                 )
         elif wins:  # sent on, it would be turned away everywhere, and count against each in turn
-            errand.add(Step.UNFIT)
+            pending.add(Action.UNFIT)
         self._settle(now)
 
-    def _ended(self, now: float, assignment: Assignment, how: Outcome, load: dict | None) -> None:
-        task = assignment.task
-        if not assignment.out:
+    def _ended(self, now: float, attempt: Attempt, how: Outcome, load: dict | None) -> None:
+        request = attempt.request
+        if not attempt.is_in_flight:
             return
-        complete = how in LAST or not task.open
-        if self.seen is not None:
-            self._see(now, assignment, how)
-        if self.tally is not None and how is Outcome.ERROR:
-            self.tally.erred(task.ref.about[0])
-        if how is Outcome.FINISHED and task.ref.charge is not None and not task.ref.measured:
-            took = now - (assignment.started_at or assignment.sent)
-            task.ref.measured = took * assignment.executor.speed * task.slots
-        if task.ref.record is not None:
-            self.monitor.attempt_ended(task.ref.record, assignment.number, how)
-        self.node.ended(now, assignment, how, now - assignment.sent, complete, self._words(load))
-        if not task.open:
-            self.open.pop(task.ref, None)
-            self._settle_charge(task)
-        task.ref.stir()
-
-    def _settle_charge(self, task: Task) -> None:
+        complete = how in LAST or not request.is_open
+        if self.health_observer is not None:
+            self._see(now, attempt, how)
+        if self.rollout_counters is not None and how is Outcome.ERROR:
+            self.rollout_counters.erred(request.ref.labels[0])
+        if how is Outcome.COMPLETED and request.ref.charge is not None and not request.ref.measured_work:
+            took = now - (attempt.started_at or attempt.sent_at)
+            request.ref.measured_work = took * attempt.executor.speed * request.slots
+        if request.ref.record is not None:
+            self.monitor.attempt_ended(request.ref.record, attempt.number, how)
+        self.policy.attempt_ended(now, attempt, how, now - attempt.sent_at, complete, self._words(load))
+        if not request.is_open:
+            self.open_requests.pop(request.ref, None)
+            self._settle_charge(request)
+        request.ref.wake()
+
+    def _settle_charge(self, request: Request) -> None:
         """Once it is over: what was measured, else the estimate, or nothing if none of it can have run."""
-        if task.ref.charge is not None and not task.open and not task.still_out:
-            ran = any(a.may_have_run and a.number in task.ref.begun for a in task.assignments)
-            task.ref.charge.settle(task.ref.measured, ran)
+        if request.ref.charge is not None and not request.is_open and not request.in_flight:
+            ran = any(a.may_have_run and a.number in request.ref.committed for a in request.attempts)
+            request.ref.charge.settle(request.ref.measured_work, ran)
 
     def _zone(self, executor: Executor) -> int:
-        return next((number for number, zone in self.node.zones.items() if zone is executor.zone), -1)
+        return next((number for number, zone in self.policy.zones.items() if zone is executor.zone), -1)
 
-    def _see(self, now: float, assignment: Assignment, how: Outcome) -> None:
+    def _see(self, now: float, attempt: Attempt, how: Outcome) -> None:
         """An assignment that was called off tells nothing, unless it should have ended by then."""
-        executor, began = assignment.executor, assignment.started_at
-        late = now - assignment.sent > assignment.wait + assignment.task.cost / executor.rate()
+        executor, began = attempt.executor, attempt.started_at
+        late = now - attempt.sent_at > attempt.wait + attempt.request.cost / executor.rate()
         if how is not Outcome.NOT_SENT and (how is not Outcome.CANCELLED or late and not began):
             missed = how in MISSED and not began
-            self.seen.ended(self._zone(executor), missed, how is Outcome.ERROR, now, assignment.sent)
+            self.health_observer.ended(
+                self._zone(executor), missed, how is Outcome.ERROR, now, attempt.sent_at
+            )
 
-    def shun(self, zones: list[int]) -> None:
+    def exclude_zones(self, zones: list[int]) -> None:
         """These zones get nothing for as long as they are named."""
-        for number, place in self.node.zones.items():
+        for number, place in self.policy.zones.items():
             if number in zones:
                 place.away_until = FOR_GOOD
             elif place.away_until == FOR_GOOD:
                 place.away_until = 0.0
 
-    def zones_bear(self, count: int) -> list[float]:
+    def zone_capacities(self, count: int) -> list[float]:
         """Work a second that each zone's ready executors bear when warm, by this node's list."""
         bears = [0.0] * count
-        for executor in self.node.near + self.node.far:
+        for executor in self.policy.near + self.policy.far:
             number = self._zone(executor)
             if 0 <= number < count:
                 bears[number] += executor.slots * executor.speed
         return bears
 
-    def report_gone(self, errand: Errand, reason: str = "client_left") -> None:
+    def report_client_left(self, pending: PendingRequest, reason: str = "client_left") -> None:
         """The client left."""
         now = self.clock()
-        if errand.record is not None:
-            self.monitor.released(errand.record, reason)
-        self.node.withdrawn(now, errand.task)
-        self.open.pop(errand, None)
-        self._settle_charge(errand.task)
-        errand.stir()
+        if pending.record is not None:
+            self.monitor.released(pending.record, reason)
+        self.policy.request_withdrawn(now, pending.request)
+        self.open_requests.pop(pending, None)
+        self._settle_charge(pending.request)
+        pending.wake()
         self._settle(now)
 
-    def report_moved(self, errand: Errand) -> None:
+    def report_handed_over(self, pending: PendingRequest) -> None:
         """Another process of this node goes on with it: here nothing is owed any more."""
-        self.report_gone(errand, "handed_over")
-        for assignment in errand.task.assignments:
-            if assignment.out:  # where a cancel means nothing
-                self.report_outcome(errand, assignment.number, Outcome.CANCELLED)
+        self.report_client_left(pending, "handed_over")
+        for attempt in pending.request.attempts:
+            if attempt.is_in_flight:  # where a cancel means nothing
+                self.report_outcome(pending, attempt.number, Outcome.CANCELLED)
 
-    def report_resumed(self, errand: Errand) -> None:
+    def report_request_resumed(self, pending: PendingRequest) -> None:
         """A task that another process of this node had goes on here."""
-        now, task = self.clock(), errand.task
-        errand.expiry, task.expiry = task.expiry, min(task.expiry, self.closing_at - WAY_BACK)
-        self.open[errand] = None
-        self.set_timer(task.expiry + LAST_WORD, self._last_word, errand)
-        for assignment in task.assignments:
-            if assignment.out:
-                self.set_timer(task.expiry, self._time_out, assignment)
-                self.node.resumed(now, assignment)
+        now, request = self.clock(), pending.request
+        pending.deadline, request.deadline = (
+            request.deadline,
+            min(request.deadline, self.shutdown_deadline - RESPONSE_MARGIN_S),
+        )
+        self.open_requests[pending] = None
+        self.set_timer(request.deadline + LAST_WORD, self._last_word, pending)
+        for attempt in request.attempts:
+            if attempt.is_in_flight:
+                self.set_timer(request.deadline, self._time_out, attempt)
+                self.policy.attempt_resumed(now, attempt)
         self._settle(now)
 
     def report_list(self, version: int, whole: bool, entries: list[tuple]) -> None:
@@ -334,263 +362,275 @@
         if version < self.version and not whole:
             return  # an old change, told again
         now, named = self.clock(), set()
-        told_last = self.entries
+        told_last = self.endpoints
         if whole:
-            self.entries = {}
+            self.endpoints = {}
         for entry in entries:
             name, address, zone, kind, cell, condition, came_up, size = entry
             if told_last.get(name) == entry:
-                self.entries[name] = entry
+                self.endpoints[name] = entry
                 named.add(name)
                 continue
-            self.entries[name] = entry
-            executor = self.places.get(name)
+            self.endpoints[name] = entry
+            executor = self.executors.get(name)
             if executor is None:
-                if condition is Condition.GONE:
+                if condition is EndpointState.REMOVED:
                     continue
-                executor = self.places[name] = self.node.new_executor(
-                    Place(name, address),
+                executor = self.executors[name] = self.policy.new_executor(
+                    Endpoint(name, address),
                     self.kinds.get(kind, -1),
                     self.zones.get(zone, -1),
                     cell,
                     size,
                     crc32(name.encode()),
                 )
-                self.marks.add(name.encode(), executor)
-            if condition is Condition.GONE or address != executor.ref.address:
-                self.close_idle(executor)
+                self.executor_index.add(name.encode(), executor)
+            if condition is EndpointState.REMOVED or address != executor.ref.address:
+                self.close_idle_connections(executor)
             executor.ref.address = address
             named.add(name)
-            self.node.heard(now, executor, *self.maintenance.hear(name, condition, came_up))
-        for name, executor in self.places.items() if whole else ():
-            if name not in named and executor.condition is not Condition.GONE:
-                self.node.heard(now, executor, *self.maintenance.hear(name, Condition.GONE, executor.came_up))
-                self.close_idle(executor)
-        self.version, self.list_at = version, now
-        self.node.list_heard(now)
+            self.policy.endpoint_changed(now, executor, *self.maintenance.observe(name, condition, came_up))
+        for name, executor in self.executors.items() if whole else ():
+            if name not in named and executor.condition is not EndpointState.REMOVED:
+                self.policy.endpoint_changed(
+                    now, executor, *self.maintenance.observe(name, EndpointState.REMOVED, executor.came_up)
+                )
+                self.close_idle_connections(executor)
+        self.version, self.list_received_at = version, now
+        self.policy.endpoint_list_received(now)
         self._settle(now)
 
-    def report_out(self, name: str, sure: bool = False) -> bool:
+    def detach_executor(self, name: str, sure: bool = False) -> bool:
         """Operators take an executor out: to the decisions it drains, so that their one gate keeps this rule
         too. False: nobody knows it. `sure`: another process of this node does."""
         if not (sure or self.maintenance.knows(name)):
             return False
-        now, executor = self.clock(), self.places.get(name)
-        self.maintenance.take_out(name, now)
+        now, executor = self.clock(), self.executors.get(name)
+        self.maintenance.detach(name, now)
         if executor is not None:
             self._as_listed(now, executor)
-            self.close_idle(executor)  # the restart that it is taken out for would end them under a task
-            for assignment in [a for errand in self.open for a in errand.task.assignments]:
-                if assignment.executor is executor and assignment.out and self.node.tells_start:
-                    self.node.overdue(now, assignment)  # what has not begun there need not wait for its end
+            self.close_idle_connections(
+                executor
+            )  # the restart that it is taken out for would end them under a task
+            for attempt in [a for pending in self.open_requests for a in pending.request.attempts]:
+                if attempt.executor is executor and attempt.is_in_flight and self.policy.tells_start:
+                    self.policy.attempt_overdue(
+                        now, attempt
+                    )  # what has not begun there need not wait for its end
             self._settle(now)
         return True
 
-    def report_kept_out(self, state: dict) -> None:
+    def restore_maintenance(self, state: dict) -> None:
         """Who was out when another process of this node served; ValueError and its like if it says nothing
         that can be used. The list that this one began with had them in use."""
         self.maintenance.restore(state)
-        for executor in self.places.values():
+        for executor in self.executors.values():
             self._as_listed(self.clock(), executor)
 
-    def report_back(self, name: str, sure: bool = False) -> bool:
+    def attach_executor(self, name: str, sure: bool = False) -> bool:
         """Operators call it back: it comes back cold, whatever the list has noticed of its restart."""
         if not (sure or self.maintenance.knows(name)):
             return False
-        now, executor = self.clock(), self.places.get(name)
-        if self.maintenance.call_back(name, now) and executor is not None:
+        now, executor = self.clock(), self.executors.get(name)
+        if self.maintenance.attach(name, now) and executor is not None:
             self._as_listed(now, executor)
         return True
 
     def _as_listed(self, now: float, executor: Executor) -> None:
-        listed = self.maintenance.listed.get(executor.ref.name)
+        listed = self.maintenance.last_listed.get(executor.ref.name)
         if listed is not None:
-            self.node.heard(now, executor, *self.maintenance.hear(executor.ref.name, *listed))
-            self.node.list_heard(now)
+            self.policy.endpoint_changed(now, executor, *self.maintenance.observe(executor.ref.name, *listed))
+            self.policy.endpoint_list_received(now)
             self._settle(now)
 
-    def kept(self, place: Place) -> bool:
+    def keeps_connections_to(self, place: Endpoint) -> bool:
         """Whether connections to it are worth keeping: to one that is out they end with its restart."""
-        return place.name not in self.maintenance.out
+        return place.name not in self.maintenance.detached
 
-    def report_kept_list(self, version: int, entries: list[tuple], whole: bool = True) -> None:
+    def restore_endpoint_list(self, version: int, entries: list[tuple], whole: bool = True) -> None:
         """The list as another process of this node had it: no news, so that a fresh one is still awaited."""
-        at = self.list_at
+        at = self.list_received_at
         self.report_list(version, whole, entries)
-        self.list_at = at
+        self.list_received_at = at
 
-    def forget_version(self) -> None:
+    def reset_list_version(self) -> None:
         """The list comes from another service, whose versions need not follow on those before."""
         self.version = 0
 
-    def list_awaited(self, since: float) -> bool:
+    def is_awaiting_endpoint_list(self, since: float) -> bool:
         """Whether the list's service was not heard since then, and no call of it has come to nothing: what
         the node knows so far is as old as its configuration."""
-        return self.list_at <= since and not self.node.misses
+        return self.list_received_at <= since and not self.policy.misses
 
     def report_list_broken(self, silent: bool = False) -> None:
         """`silent`: it gave no sign in its time. What it missed is to be known soon, and it was not turned
         down by a service that is busy."""
         now = self.clock()
-        self.node.list_broken(now, silent)
+        self.policy.endpoint_list_failed(now, silent)
         self._settle(now)
 
-    def report_probe(self, place: Place, how: Outcome, took: float, load: dict | None) -> None:
+    def report_probe(self, place: Endpoint, how: Outcome, took: float, load: dict | None) -> None:
         now = self.clock()
-        if self.seen is not None:
-            missed = how not in (Outcome.FINISHED, Outcome.FULL)
-            self.seen.ended(self._zone(self.places[place.name]), missed, False, now, now - took)
-        self.node.probed(now, self.places[place.name], how, took, self._words(load))
+        if self.health_observer is not None:
+            missed = how not in (Outcome.COMPLETED, Outcome.AT_CAPACITY)
+            self.health_observer.ended(self._zone(self.executors[place.name]), missed, False, now, now - took)
+        self.policy.health_check_ended(now, self.executors[place.name], how, took, self._words(load))
         self._settle(now)
 
     def report_peer(self, number: int, content: bytes) -> None:
         """Another node warns of an executor."""
-        now, executor = self.clock(), self.marks.find(content)
+        now, executor = self.clock(), self.executor_index.find(content)
         if executor is not None:
-            self.node.peer_warned(now, executor)
+            self.policy.peer_reported_failure(now, executor)
             self._settle(now)
 
-    def report_sending(self, errand: Errand, number: int) -> bool:
+    def report_sending(self, pending: PendingRequest, number: int) -> bool:
         """The first byte is about to be written; False: no more. While a connection was awaited, the executor
         may have begun to drain or come back cold, the client may have left, or the task may have ended; or
         the process stood still, and wakes past the task's time before its timers have told."""
-        if not self._may_go(errand, number):
+        if not self._may_go(pending, number):
             return False
-        if errand.record is not None:
-            assignment = errand.task.assignments[number]
-            self.monitor.attempt_begun(errand.record, assignment, self._why(errand, number))
+        if pending.record is not None:
+            attempt = pending.request.attempts[number]
+            self.monitor.attempt_begun(pending.record, attempt, self._why(pending, number))
         return True
 
     @staticmethod
-    def _why(errand: Errand, number: int) -> str:
+    def _why(pending: PendingRequest, number: int) -> str:
         """Why this attempt is made: the first one, beside one that is still out, or after one that ended."""
         if number == 0:
             return "first"
-        return "hedge" if any(a.out for a in errand.task.assignments[:number]) else "retry"
+        return "hedge" if any(a.is_in_flight for a in pending.request.attempts[:number]) else "retry"
 
-    def report_last_byte(self, errand: Errand, number: int) -> bool:
+    def report_committing(self, pending: PendingRequest, number: int) -> bool:
         """The last byte is about to be written: from here on it may run. False: the task has ended, or its
         client has gone."""
-        wanted = self._may_go(errand, number, begun=True)
+        wanted = self._may_go(pending, number, begun=True)
         if wanted:
-            errand.begun.add(number)
-            if errand.record is not None:
-                self.monitor.attempt_committed(errand.record, number)
+            pending.committed.add(number)
+            if pending.record is not None:
+                self.monitor.attempt_committed(pending.record, number)
         return wanted
 
-    def _may_go(self, errand: Errand, number: int, begun: bool = False) -> bool:
+    def _may_go(self, pending: PendingRequest, number: int, begun: bool = False) -> bool:
         """The gate at the moment of the send. Less than `LEAST_LEFT` is no time that could be told."""
-        task, assignment = errand.task, errand.task.assignments[number]
-        if not assignment.out or not task.open or self.clock() + LEAST_LEFT >= task.expiry:
+        request, attempt = pending.request, pending.request.attempts[number]
+        if not attempt.is_in_flight or not request.is_open or self.clock() + LEAST_LEFT >= request.deadline:
             return False
-        if errand.left():
-            self.report_gone(errand)
+        if pending.has_client_left():
+            self.report_client_left(pending)
             return False
         if begun:
-            return self.node.may_commit(self.clock(), assignment)
-        return self.node.may_begin(self.clock(), assignment)
+            return self.policy.may_commit_attempt(self.clock(), attempt)
+        return self.policy.may_start_attempt(self.clock(), attempt)
 
-    def report_idle(self, place: Place, count: int) -> None:
+    def report_idle(self, place: Endpoint, count: int) -> None:
         """So many connections to it are open and free: what the decisions count misses those that ended."""
-        self.node.idle_counted(self.places[place.name], count)
+        self.policy.idle_connections_counted(self.executors[place.name], count)
 
-    def close_by(self, when: float) -> None:
+    def set_shutdown_deadline(self, when: float) -> None:
         """The node must be gone then: what it has taken is answered before, as if it expired."""
-        self.closing_at = when
-        for errand in list(self.open):
-            task = errand.task
-            task.expiry = min(task.expiry, when - WAY_BACK)
-            for assignment in task.assignments:
-                if assignment.out:
-                    self.set_timer(task.expiry, self._time_out, assignment)
+        self.shutdown_deadline = when
+        for pending in list(self.open_requests):
+            request = pending.request
+            request.deadline = min(request.deadline, when - RESPONSE_MARGIN_S)
+            for attempt in request.attempts:
+                if attempt.is_in_flight:
+                    self.set_timer(request.deadline, self._time_out, attempt)
         self._settle(self.clock())
 
     def _words(self, load: dict | None) -> dict[str, float] | None:
         if not isinstance(load, dict):
             return None
         return {
-            REPORT_WORDS.get(name, name): float(value)
+            LOAD_REPORT_FIELDS.get(name, name): float(value)
             for name, value in load.items()
             if isinstance(value, int | float) and abs(value) < MOST_LOAD
         }
 
-    def _time_out(self, now: float, assignment: Assignment) -> None:
-        if assignment.out:
-            errand = assignment.task.ref
-            begun = assignment.number in errand.begun
-            errand.add(Step.CALL_OFF, assignment.number)
-            self._ended(now, assignment, Outcome.TIMED_OUT if begun else Outcome.NOT_SENT, None)
+    def _time_out(self, now: float, attempt: Attempt) -> None:
+        if attempt.is_in_flight:
+            pending = attempt.request.ref
+            begun = attempt.number in pending.committed
+            pending.add(Action.CALL_OFF, attempt.number)
+            self._ended(now, attempt, Outcome.TIMED_OUT if begun else Outcome.NOT_SENT, None)
 
-    def _last_word(self, now: float, errand: Errand) -> None:
+    def _last_word(self, now: float, pending: PendingRequest) -> None:
         """The decisions answer every task by its expiry; did they not, its client would wait for nothing."""
-        must(not errand.task.open, "a task has its final answer by its expiry")
-        if errand.task.open:
-            self.node.withdrawn(now, errand.task)
-            self.abandon(errand.task)
+        check_invariant(not pending.request.is_open, "a task has its final answer by its expiry")
+        if pending.request.is_open:
+            self.policy.request_withdrawn(now, pending.request)
+            self.fail(pending.request)
 
     # -- the host's side: what the decisions ask for -----------------------------------------------------
 
-    def send(self, task: Task, executor: Executor, limit: float) -> None:
-        assignment = task.assignments[-1]
-        end = min(task.expiry, assignment.sent + limit) if limit else task.expiry
-        task.ref.add(
-            Step.SEND, assignment.number, executor.ref, end, task.offering.effect is Effect.SIDE_EFFECTING
+    def send(self, request: Request, executor: Executor, limit: float) -> None:
+        attempt = request.attempts[-1]
+        end = min(request.deadline, attempt.sent_at + limit) if limit else request.deadline
+        request.ref.add(
+            Action.SEND,
+            attempt.number,
+            executor.ref,
+            end,
+            request.request_class.idempotency is Idempotency.NON_IDEMPOTENT,
         )
-        self.set_timer(end, self._time_out, assignment)
+        self.set_timer(end, self._time_out, attempt)
 
-    def terms(self, task: Task) -> float:
-        return 1.0 if self.terms_of is None else self.terms_of(task)
+    def admission_weight(self, request: Request) -> float:
+        return 1.0 if self.cluster_admission is None else self.cluster_admission(request)
 
-    def _refusal(self, task: Task) -> Refusal:
+    def _refusal(self, request: Request) -> FailureReason:
         """Why it is given up: by its end, that of the process, the lack of an executor, or failures."""
-        stopped = task.expiry < task.ref.expiry
-        if self.clock() >= task.expiry:
-            return Refusal.STOPPING if stopped else Refusal.DEADLINE
-        if task.assignments:
-            return Refusal.ATTEMPTS_FAILED
-        return Refusal.STOPPING if stopped else Refusal.NO_EXECUTOR
-
-    def bounce(self, task: Task, wait: float) -> None:
-        task.ref.refusal = self._refusal(task)
-        task.ref.add(Step.BOUNCED, min(max(wait, task.ref.advice), self.node.longest_advice))
-        if self.tally is not None:
-            self.tally.bounced(task.ref.about[0], len(task.assignments))
-        self.open.pop(task.ref, None)
-        self._settle_charge(task)
-
-    def abandon(self, task: Task) -> None:
-        task.ref.refusal = self._refusal(task)
-        task.ref.add(Step.ABANDONED)
-        if self.tally is not None:
-            self.tally.abandoned(task.ref.about[0], len(task.assignments))
-        self.open.pop(task.ref, None)
-        self._settle_charge(task)
-
-    def cancel(self, assignment: Assignment) -> None:
-        assignment.task.ref.add(Step.CALL_OFF, assignment.number)
-        self.ending.append(assignment)
-
-    def begun(self, assignment: Assignment) -> bool:
-        return assignment.number in assignment.task.ref.begun
-
-    def probe(self, executor: Executor) -> None:
-        self.chores.append((Chore.PROBE, executor.ref, self.probe_time))
-
-    def close_idle(self, executor: Executor) -> None:
-        self.chores.append((Chore.CLOSE_IDLE, executor.ref))
+        stopped = request.deadline < request.ref.deadline
+        if self.clock() >= request.deadline:
+            return FailureReason.STOPPING if stopped else FailureReason.DEADLINE
+        if request.attempts:
+            return FailureReason.ATTEMPTS_FAILED
+        return FailureReason.STOPPING if stopped else FailureReason.NO_EXECUTOR
+
+    def reject(self, request: Request, wait: float) -> None:
+        request.ref.failure_reason = self._refusal(request)
+        request.ref.add(Action.BOUNCED, min(max(wait, request.ref.retry_after), self.policy.max_retry_after))
+        if self.rollout_counters is not None:
+            self.rollout_counters.bounced(request.ref.labels[0], len(request.attempts))
+        self.open_requests.pop(request.ref, None)
+        self._settle_charge(request)
+
+    def fail(self, request: Request) -> None:
+        request.ref.failure_reason = self._refusal(request)
+        request.ref.add(Action.ABANDONED)
+        if self.rollout_counters is not None:
+            self.rollout_counters.abandoned(request.ref.labels[0], len(request.attempts))
+        self.open_requests.pop(request.ref, None)
+        self._settle_charge(request)
+
+    def cancel(self, attempt: Attempt) -> None:
+        attempt.request.ref.add(Action.CALL_OFF, attempt.number)
+        self.ending.append(attempt)
+
+    def may_have_reached(self, attempt: Attempt) -> bool:
+        return attempt.number in attempt.request.ref.committed
+
+    def check_health(self, executor: Executor) -> None:
+        self.background_actions.append((BackgroundAction.PROBE, executor.ref, self.probe_time))
+
+    def close_idle_connections(self, executor: Executor) -> None:
+        self.background_actions.append((BackgroundAction.CLOSE_IDLE, executor.ref))
 
     def set_timer(self, when: float, act: Callable[[float, Any], None], about: Any) -> None:
         self.label += 1
         heappush(self.timers, (when, self.label, act, about))
 
-    def warn_peers(self, executor: Executor) -> None:
-        self.chores.append((Chore.TELL, failure_gossip.mark_of(executor.ref.name.encode())))
+    def gossip_failure(self, executor: Executor) -> None:
+        self.background_actions.append(
+            (BackgroundAction.TELL, failure_gossip.executor_checksum(executor.ref.name.encode()))
+        )
 
-    def watch(self, on: bool) -> None:
-        self.chores.append((Chore.WATCH, on))
+    def watch_endpoints(self, on: bool) -> None:
+        self.background_actions.append((BackgroundAction.WATCH, on))
 
-    def ask_list(self) -> None:
-        self.chores.append((Chore.ASK_LIST,))
+    def fetch_endpoints(self) -> None:
+        self.background_actions.append((BackgroundAction.ASK_LIST,))
 
     def note(self, line: str) -> None:
-        self.chores.append((Chore.NOTE, line))
+        self.background_actions.append((BackgroundAction.NOTE, line))
--- a/firwalk/dispatcher/failure_gossip.py
+++ b/firwalk/dispatcher/failure_gossip.py
@@ -12,19 +12,19 @@
 SIZE = 4
 
 
-class Marks:
+class ExecutorIndex:
     """Executors by their marks, which are the same at all nodes."""
 
     def __init__(self) -> None:
         self.known: dict[bytes, Any] = {}
 
     def add(self, name: bytes, executor: Any) -> None:
-        mark = mark_of(name)
+        mark = executor_checksum(name)
         self.known[mark] = None if mark in self.known else executor
 
     def find(self, content: bytes) -> Any | None:
         return self.known.get(content)
 
 
-def mark_of(name: bytes) -> bytes:
+def executor_checksum(name: bytes) -> bytes:
     return crc32(name).to_bytes(SIZE)
--- a/firwalk/lab/faults.py
+++ b/firwalk/lab/faults.py
@@ -49,7 +49,7 @@
 
     at: float
     node: int
-    life: int
+    generation: int
     term: Any
 
 
@@ -199,12 +199,12 @@
         if len(data) <= messages.HEAD.size:
             return
         try:
-            seat, life, _, message = messages.unpacked(messages.fleet_mark(FLEET_NAME), data)
-        except messages.Unreadable:
+            seat, generation, _, message = messages.decode(messages.cluster_checksum(FLEET_NAME), data)
+        except messages.MalformedMessage:
             return
         self._count_message(seat, type(message).__name__.lower())
         if isinstance(message, messages.Answer):
-            self.answers.append(CoordinatorAnswer(at, seat, life, message.term))
+            self.answers.append(CoordinatorAnswer(at, seat, generation, message.term))
 
     def _count_message(self, node: int, kind: str) -> None:
         for armed in [one for one in self._armed if (one.node, one.kind) == (node, kind)]:
@@ -334,8 +334,8 @@
 
     def _noise(self, number: int) -> bytes:
         size = self.chance.randrange(5, NOISE_BYTES)
-        ping = messages.packed(messages.fleet_mark("other"), 1, 2, 3, messages.Nack(number))
-        nack = messages.packed(messages.fleet_mark(FLEET_NAME), 1, 2, 3, messages.Nack(1))
+        ping = messages.encode(messages.cluster_checksum("other"), 1, 2, 3, messages.Nack(number))
+        nack = messages.encode(messages.cluster_checksum(FLEET_NAME), 1, 2, 3, messages.Nack(1))
         cut_short = nack[: 15 + number % 2] + self.chance.randbytes(size % 100)
         kinds = (self.chance.randbytes(size), ping, b"\x07" + ping[1:], cut_short)
         return kinds[number % len(kinds)]
--- a/firwalk/lab/fleet.py
+++ b/firwalk/lab/fleet.py
@@ -14,16 +14,16 @@
 from math import exp
 from typing import Any
 
-from firwalk.cluster.cluster_member import Seat
-from firwalk.cluster.plan_enforcement import Steering
-from firwalk.cluster.zones import Terms
-from firwalk.dispatcher.dispatcher import Chore, Desk, Errand, Place, Step
+from firwalk.cluster.cluster_member import ClusterMember
+from firwalk.cluster.plan_enforcement import PlanEnforcer
+from firwalk.cluster.zones import ZonePolicy
+from firwalk.dispatcher.dispatcher import Action, BackgroundAction, Dispatcher, Endpoint, PendingRequest
 from firwalk.lab.invariants import Judge
 from firwalk.lab.scenario import Fault, Offering, Scenario, endpoints, settings, zone_name
 from firwalk.lab.schedules import Watch
 from firwalk.lab.virtual import Fault as WorldFault
 from firwalk.lab.virtual import Process, Schedule, World
-from firwalk.policy.interface import Condition, Outcome
+from firwalk.policy.interface import EndpointState, Outcome
 
 NEAR, FAR = 0.0005, 0.002  # seconds one way within a zone and between zones
 CONNECT = 0.25  # seconds after which a connection that does not come up is given up
@@ -64,8 +64,8 @@
 class Work:
     """One try of a job at one node."""
 
-    def __init__(self, node: Node, job: Job, errand: Errand):
-        self.node, self.job, self.errand, self.over = node, job, errand, False
+    def __init__(self, node: Node, job: Job, pending: PendingRequest):
+        self.node, self.job, self.pending, self.over = node, job, pending, False
         self.sent: dict[int, Sending] = {}
 
 
@@ -88,7 +88,7 @@
         self.slow, self.errors, self.up, self.draining, self.began_at = 1.0, 0.0, True, False, 0.0
         self.running: dict[Sending, None] = {}
         self.queue: list[Sending] = []
-        self.busy_time, self.since, self.life = 0.0, 0.0, 0
+        self.busy_time, self.since, self.generation = 0.0, 0.0, 0
 
     def warmth(self) -> float:
         told = self.fleet.scenario.fleet
@@ -101,8 +101,8 @@
         held = len(self.running) + len(self.queue)
         return {"inflight": held, "x0": max(self.slots - len(self.running), 0)}
 
-    def came(self, sending: Sending, life: int) -> None:
-        if not self.up or life != self.life or sending.off:
+    def came(self, sending: Sending, generation: int) -> None:
+        if not self.up or generation != self.generation or sending.off:
             return
         self.queue.append(sending)
         self._next()
@@ -147,7 +147,7 @@
         """Down; what was there is lost."""
         self._count()
         lost = [*self.running, *self.queue]
-        self.running, self.queue, self.up, self.life = {}, [], False, self.life + 1
+        self.running, self.queue, self.up, self.generation = {}, [], False, self.generation + 1
         return lost
 
 
@@ -159,10 +159,12 @@
         self.fleet, self.number, self.zone = fleet, number, number % told.zones
         self.alive, self.due = True, float("inf")
         self.idle = [0] * told.executors
-        self.desk = Desk(settings(fleet.scenario, number), fleet.seed * 1009 + number, fleet.now, self._wake)
-        self.steering: Steering | None = None
+        self.dispatcher = Dispatcher(
+            settings(fleet.scenario, number), fleet.seed * 1009 + number, fleet.now, self._wake
+        )
+        self.steering: PlanEnforcer | None = None
         self.works: dict[Work, None] = {}
-        self.desk.report_list(1, True, fleet.entries())
+        self.dispatcher.report_list(1, True, fleet.entries())
         self._wake()
 
     def _wake(self) -> None:
@@ -177,44 +179,44 @@
         if when != self.due or not self.alive:
             return
         self.due = float("inf")
-        upto, chores = self.desk.tick()
+        upto, chores = self.dispatcher.run_due_timers()
         for chore in chores:
             self._chore(*chore)
         if upto < float("inf"):
             self._turn_at(max(upto, self.fleet.now()))
 
-    def _chore(self, kind: Chore, *about: Any) -> None:
-        if kind is Chore.PROBE:
+    def _chore(self, kind: BackgroundAction, *about: Any) -> None:
+        if kind is BackgroundAction.PROBE:
             self.fleet.probe(self, *about)
-        elif kind is Chore.CLOSE_IDLE:
+        elif kind is BackgroundAction.CLOSE_IDLE:
             self.idle[int(about[0].name[1:])] = 0
-        elif kind is Chore.WATCH or kind is Chore.ASK_LIST:
+        elif kind is BackgroundAction.WATCH or kind is BackgroundAction.ASK_LIST:
             self.fleet.list_later(self)
-        elif kind is Chore.TELL:
+        elif kind is BackgroundAction.TELL:
             self.fleet.warn(self, *about)
 
     # -- tasks -------------------------------------------------------------------------------------------
 
     def take(self, job: Job) -> None:
         left, told = job.intended + job.offering.expiry - self.fleet.now(), job.offering
-        errand = self.desk.report_task(told.name, "", left, told.cost, 1.0, 0.0, job.tries > 1)
-        work = Work(self, job, errand)
+        pending = self.dispatcher.report_request(told.name, "", left, told.cost, 1.0, 0.0, job.tries > 1)
+        work = Work(self, job, pending)
         self.works[work] = None
-        errand.stir = lambda: self.fleet.world.later(self.fleet.now(), self.steps, work)
+        pending.wake = lambda: self.fleet.world.later(self.fleet.now(), self.steps, work)
         self.steps(work)
 
     def steps(self, work: Work) -> None:
         if not self.alive:
             return
-        while work.errand.steps:
-            kind, *about = work.errand.steps.popleft()
-            if kind is Step.SEND:
+        while work.pending.actions:
+            kind, *about = work.pending.actions.popleft()
+            if kind is Action.SEND:
                 self.fleet.send(work, about[0], about[1])
-            elif kind is Step.CALL_OFF:
+            elif kind is Action.CALL_OFF:
                 self.fleet.call_off(work.sent[about[0]])
             else:
                 self.fleet.final(work, kind, about)
-        if work.errand.over():
+        if work.pending.is_finished():
             self.works.pop(work, None)
 
 
@@ -232,7 +234,7 @@
     """`scenario`: of `firwalk.lab.scenario`, with any number of nodes; without its `cluster` each node is
     alone, without `regions` in it the zones' part is off. `make`: makes seats, as `Seat` does."""
 
-    def __init__(self, scenario: Scenario, seed: int, make: Callable[..., Seat] = Seat):
+    def __init__(self, scenario: Scenario, seed: int, make: Callable[..., ClusterMember] = ClusterMember):
         self.scenario, self.seed, self.make_seat = scenario, seed, make
         self.chance = random.Random(seed)
         told = scenario.fleet
@@ -263,7 +265,9 @@
     def now(self) -> float:
         return self.world.now if self.world is not None else 0.0
 
-    def _begin(self, host: Process, number: int, seats: int, life: int, now: float, **lengths: Any) -> Any:
+    def _begin(
+        self, host: Process, number: int, seats: int, generation: int, now: float, **lengths: Any
+    ) -> Any:
         """A node's life begins, and with it its seat's."""
         self.world = host.world
         node = self.nodes[number] = Node(self, number)
@@ -271,10 +275,12 @@
         if cluster is None:
             return Alone()
         of = {zone: number for number, names in enumerate(cluster.regions) for zone in names}
-        terms = Terms(tuple(of[zone_name(zone)] for zone in range(zones)), cluster.head_room) if of else None
-        seat = self.make_seat(host, number, seats, life, now, zones=terms, **lengths)
+        terms = (
+            ZonePolicy(tuple(of[zone_name(zone)] for zone in range(zones)), cluster.head_room) if of else None
+        )
+        seat = self.make_seat(host, number, seats, generation, now, zones=terms, **lengths)
         if terms is not None:
-            node.steering = Steering(seat, node.desk, node.zone, zones, now)
+            node.steering = PlanEnforcer(seat, node.dispatcher, node.zone, zones, now)
         return seat
 
     # -- a run -------------------------------------------------------------------------------------------
@@ -336,15 +342,15 @@
         job.tries += 1
         self.nodes[node].take(job)
 
-    def final(self, work: Work, kind: Step, about: list) -> None:
+    def final(self, work: Work, kind: Action, about: list) -> None:
         job, now = work.job, self.now()
         if work.over:
             self.breaks.append(f"job {job.number}: a second answer {kind.name}")
         work.over = True
         job.answers.append((now, kind.name.lower()))
-        if kind is Step.FINISHED:
+        if kind is Action.FINISHED:
             job.done_at = now
-        elif kind is Step.BOUNCED and job.tries <= self.scenario.load.retries:
+        elif kind is Action.BOUNCED and job.tries <= self.scenario.load.retries:
             self.world.later(now + (about[0] or 0.02), self._try, job)
 
     # -- between nodes and executors ---------------------------------------------------------------------
@@ -361,7 +367,7 @@
     def _comes_back(self, node: Node, worker: Worker) -> bool:
         return not self._cut(("executor", worker.number), ("node", node.number))
 
-    def send(self, work: Work, number: int, place: Place) -> None:
+    def send(self, work: Work, number: int, place: Endpoint) -> None:
         node, worker = work.node, self.workers[int(place.name[1:])]
         sending = work.sent[number] = Sending(work, number, worker)
         self.counts["sent"] += 1
@@ -372,23 +378,25 @@
             return
         self.counts["connections"] += 1
         if not (self._reaches(node, worker) and self._comes_back(node, worker)):
-            self.world.later(self.now() + CONNECT, self._ended, sending, Outcome.NO_CONNECTION, None)
+            self.world.later(self.now() + CONNECT, self._ended, sending, Outcome.CONNECT_FAILED, None)
         else:
             up = self._write if worker.up else self._refused
             self.world.later(self.now() + 2 * self._way(node.number, worker), up, sending)
 
     def _refused(self, sending: Sending) -> None:
-        self._ended(sending, Outcome.NO_CONNECTION, None)
+        self._ended(sending, Outcome.CONNECT_FAILED, None)
 
     def _write(self, sending: Sending) -> None:
         node, worker = sending.work.node, sending.worker
         if sending.off or not node.alive:
             return
-        if not node.desk.report_sending(sending.work.errand, sending.number):
+        if not node.dispatcher.report_sending(sending.work.pending, sending.number):
             self._ended(sending, Outcome.NOT_SENT, None)
-        elif node.desk.report_last_byte(sending.work.errand, sending.number) and self._reaches(node, worker):
+        elif node.dispatcher.report_committing(sending.work.pending, sending.number) and self._reaches(
+            node, worker
+        ):
             way = self._way(node.number, worker)
-            self.world.later(self.now() + way, worker.came, sending, worker.life)
+            self.world.later(self.now() + way, worker.came, sending, worker.generation)
 
     def back(self, sending: Sending, act: Callable, *about: Any) -> None:
         """Something on its way from the executor to the node."""
@@ -398,7 +406,7 @@
 
     def started(self, sending: Sending) -> None:
         if not sending.off and sending.work.node.alive:
-            sending.work.node.desk.report_start(sending.work.errand, sending.number)
+            sending.work.node.dispatcher.report_started(sending.work.pending, sending.number)
 
     def answered(self, sending: Sending, erred: bool, load: dict) -> None:
         node = sending.work.node
@@ -406,14 +414,14 @@
             return
         number = sending.worker.number
         node.idle[number] += 1
-        node.desk.report_idle(node.desk.places[sending.worker.name].ref, node.idle[number])
-        self._ended(sending, Outcome.ERROR if erred else Outcome.FINISHED, None if erred else load)
+        node.dispatcher.report_idle(node.dispatcher.executors[sending.worker.name].ref, node.idle[number])
+        self._ended(sending, Outcome.ERROR if erred else Outcome.COMPLETED, None if erred else load)
 
     def _ended(self, sending: Sending, how: Outcome, load: dict | None) -> None:
         work = sending.work
         if not sending.off and work.node.alive:
             sending.off = True
-            work.node.desk.report_outcome(work.errand, sending.number, how, load, b"done")
+            work.node.dispatcher.report_outcome(work.pending, sending.number, how, load, b"done")
             work.node.steps(work)
 
     def call_off(self, sending: Sending) -> None:
@@ -424,27 +432,27 @@
             way = self._way(sending.work.node.number, sending.worker)
             self.world.later(self.now() + way, sending.worker.called_off, sending)
 
-    def probe(self, node: Node, place: Place, limit: float) -> None:
+    def probe(self, node: Node, place: Endpoint, limit: float) -> None:
         worker = self.workers[int(place.name[1:])]
         self.counts["probes"] += 1
         fresh = not node.idle[worker.number]
         node.idle[worker.number] -= not fresh
         if not (self._reaches(node, worker) and self._comes_back(node, worker)):
-            how, after = (Outcome.NO_CONNECTION, CONNECT) if fresh else (Outcome.TIMED_OUT, limit)
+            how, after = (Outcome.CONNECT_FAILED, CONNECT) if fresh else (Outcome.TIMED_OUT, limit)
         elif not worker.up:
-            how, after = Outcome.NO_CONNECTION, 2 * self._way(node.number, worker)
+            how, after = Outcome.CONNECT_FAILED, 2 * self._way(node.number, worker)
         else:
-            how, after = Outcome.FINISHED, (4 if fresh else 2) * self._way(node.number, worker)
+            how, after = Outcome.COMPLETED, (4 if fresh else 2) * self._way(node.number, worker)
         self.counts["connections"] += fresh
         self.world.later(self.now() + after, self._probed, node, worker, place, how, after)
 
-    def _probed(self, node: Node, worker: Worker, place: Place, how: Outcome, took: float) -> None:
+    def _probed(self, node: Node, worker: Worker, place: Endpoint, how: Outcome, took: float) -> None:
         if not node.alive:
             return
-        if how is Outcome.FINISHED:
+        if how is Outcome.COMPLETED:
             node.idle[worker.number] += 1
-            node.desk.report_idle(place, node.idle[worker.number])
-        node.desk.report_probe(place, how, took, worker.load() if how is Outcome.FINISHED else None)
+            node.dispatcher.report_idle(place, node.idle[worker.number])
+        node.dispatcher.report_probe(place, how, took, worker.load() if how is Outcome.COMPLETED else None)
 
     # -- the list, warnings ------------------------------------------------------------------------------
 
@@ -456,7 +464,7 @@
                 zone_name(w.zone),
                 "m",
                 w.number,
-                Condition.DRAINING if w.draining else Condition.READY,
+                EndpointState.DRAINING if w.draining else EndpointState.READY,
                 w.began_at,
                 float(w.slots),
             )
@@ -469,7 +477,7 @@
 
     def _listed(self, node: Node) -> None:
         if node.alive:
-            node.desk.report_list(node.desk.version + 1, True, self.entries())
+            node.dispatcher.report_list(node.dispatcher.version + 1, True, self.entries())
 
     def warn(self, node: Node, content: bytes) -> None:
         for other in self.nodes:
@@ -478,7 +486,7 @@
 
     def _warned(self, node: Node, number: int, content: bytes) -> None:
         if node.alive:
-            node.desk.report_peer(number, content)
+            node.dispatcher.report_peer(number, content)
 
     # -- faults ------------------------------------------------------------------------------------------
 
@@ -549,7 +557,7 @@
 
     def _restart(self, worker: Worker, fault: Fault) -> None:
         for sending in worker.restart():
-            self.back(sending, self._ended, Outcome.BROKEN, None)
+            self.back(sending, self._ended, Outcome.CONNECTION_LOST, None)
         for node in self.nodes:
             node.idle[worker.number] = 0
         self._tell_all()
