--- a/firwalk/lab/invariants.py
+++ b/firwalk/lab/invariants.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from firwalk.cluster.node_id_ranges import read
+from firwalk.cluster.node_id_ranges import decode_ranges
 
 
 @dataclass
@@ -26,7 +26,7 @@
 @dataclass
 class Claim:
     seat: int
-    life: int
+    generation: int
     ballot: tuple
     since: float
     until: float
@@ -62,7 +62,7 @@
 
     # -- what is seen ------------------------------------------------------------------------------------
 
-    def seen(self, at: float, seat: int, life: int, what: str, about: dict, rate: float = 1.0) -> None:
+    def seen(self, at: float, seat: int, generation: int, what: str, about: dict, rate: float = 1.0) -> None:
         """One structured line of a node. `rate`: how fast its clock runs, which the rig set."""
         if what in (
             "lease",
@@ -76,33 +76,33 @@
             "ended",
         ):
             self.lines.append(
-                f"{at:9.3f} seat {seat} life {life:08x} {what} "
+                f"{at:9.3f} seat {seat} life {generation:08x} {what} "
                 + " ".join(f"{word}={value}" for word, value in about.items())
             )
         act = getattr(self, f"_{what}", None)
         if act is not None:
-            act(at, seat, life, about, rate)
+            act(at, seat, generation, about, rate)
 
-    def _lease(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
-        claim = Claim(seat, life, tuple(about["ballot"]), at, at + about["left"] / rate)
+    def _lease(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
+        claim = Claim(seat, generation, tuple(about["ballot"]), at, at + about["left"] / rate)
         for key, other in list(self.claims.items()):
             if other.until + self.slack <= at:
                 del self.claims[key]
-            elif key != (seat, life) and other.until > at + EXACT:
+            elif key != (seat, generation) and other.until > at + EXACT:
                 self._break(
                     "I1",
                     at,
                     f"seat {seat} has the lease by {claim.ballot} until {claim.until:.3f}, "
                     f"seat {other.seat} by {other.ballot} until {other.until:.3f}",
                 )
-        self.claims[seat, life] = claim
+        self.claims[seat, generation] = claim
 
-    def _lease_lost(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
-        claim = self.claims.get((seat, life))
+    def _lease_lost(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
+        claim = self.claims.get((seat, generation))
         if claim is not None:
             claim.until = min(claim.until, at)
 
-    def _killed(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _killed(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         for key, claim in self.claims.items():
             if key[0] == seat:
                 claim.until = min(claim.until, at)
@@ -112,22 +112,22 @@
 
     _ended = _killed
 
-    def _wrote(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _wrote(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         stamp = (tuple(about["term"]), about["version"])
         before = self.written.setdefault(stamp, about["check"])
         if before != about["check"]:
             self._break("I3", at, f"seat {seat} wrote two plans {stamp}")
 
-    def _plan(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _plan(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         stamp = (tuple(about["term"]), about["version"])
-        before = self.followed.get((seat, life))
+        before = self.followed.get((seat, generation))
         if before is not None and stamp < before:
             self._break("I3", at, f"seat {seat} went from plan {before} back to {stamp}")
         if self.written.get(stamp, about["check"]) != about["check"]:
             self._break("I3", at, f"seat {seat} follows another plan {stamp} than was written")
-        self.followed[seat, life] = stamp
+        self.followed[seat, generation] = stamp
 
-    def _divided(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _divided(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         """I4, by the figures that the division was made by."""
         if about["panic"]:
             return
@@ -146,7 +146,7 @@
             if abs(whole - 1.0) > 1e-6:
                 self._break("I4", at, f"seat {seat} divides {whole:.4f} of zone {b}'s tasks")
 
-    def _contracts(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _contracts(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         """In force, by themselves or `together` with those that a change brings: then the whole of a team is
         the larger one, whichever contracts each node goes by."""
         self.contracts[about["check"]] = about
@@ -160,7 +160,7 @@
             if not wholes or wholes[-1][1] != whole:
                 wholes.append((at, whole))
 
-    def _part(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _part(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         """I2: what is live of a team's budget, over all nodes. A whole that got smaller waits out what was
         granted of the one before."""
         told = self.contracts.get(about["check"])
@@ -169,7 +169,7 @@
             return
         name = told["names"][about["team"]]
         live = self.parts.setdefault(name, {})
-        live[seat, life] = (at + about["left"] / rate, about["part"])
+        live[seat, generation] = (at + about["left"] / rate, about["part"])
         for key, (until, _) in list(live.items()):
             if until <= at + EXACT:
                 del live[key]
@@ -192,17 +192,17 @@
 
     # -- I5 ------------------------------------------------------------------------------------------------
 
-    def _stage(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _stage(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         """A change's state; who is on the new version was named, and never more than the stage allows."""
         self.stage = about
-        self.ordered.append((at, dict.fromkeys(read(about["new"]))))
+        self.ordered.append((at, dict.fromkeys(decode_ranges(about["new"]))))
         named = len(self.ordered[-1][1])
         if about["state"] in ("going", "held") and named > about["most"]:
             self._break(
                 "I5", at, f"{named} nodes are to be on {about['brings']}, the stage allows {about['most']}"
             )
 
-    def _runs(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _runs(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         self.runs[seat] = {
             "release": about["release"],
             "settings": about["tag"],
@@ -234,14 +234,16 @@
                     "I5", at, f"the change is {self.stage['state']}, and seats {others} are not on {wanted}"
                 )
 
-    def _account(self, at: float, seat: int, life: int, about: dict, rate: float) -> None:
+    def _account(self, at: float, seat: int, generation: int, about: dict, rate: float) -> None:
         """A ledger adds up, and nothing of it goes back."""
         granted, free, reserved, settled, returned = about["sums"]
         if abs(granted - free - reserved - settled - returned) > 1e-5 * max(granted, 1.0):
             self._break(
                 "I2", at, f"seat {seat}: the account of {about['team']} does not add up: {about['sums']}"
             )
-        before = self.accounts.get((seat, life, about["check"], about["team"], about["began"]), [0.0] * 5)
+        before = self.accounts.get(
+            (seat, generation, about["check"], about["team"], about["began"]), [0.0] * 5
+        )
         if granted < before[0] - 1e-9 or settled < before[3] - 1e-9 or returned < before[4] - 1e-9:
             self._break(
                 "I2",
@@ -250,11 +252,11 @@
             )
         if reserved < -1e-6:
             self._break("I2", at, f"seat {seat}: {about['team']} settled more than was reserved: {reserved}")
-        self.accounts[seat, life, about["check"], about["team"], about["began"]] = about["sums"]
+        self.accounts[seat, generation, about["check"], about["team"], about["began"]] = about["sums"]
 
-    def answered(self, at: float, seat: int, life: int, term: tuple) -> None:
+    def answered(self, at: float, seat: int, generation: int, term: tuple) -> None:
         """A coordinator's answer was seen on its way: whoever sends one must hold the lease then."""
-        claim = self.claims.get((seat, life))
+        claim = self.claims.get((seat, generation))
         if claim is None or at > claim.until + self.slack:
             until = f"was over at {claim.until:.3f}" if claim else "is not its own"
             self._break("I1", at, f"seat {seat} answers as coordinator of {tuple(term)}; its lease {until}")
--- a/firwalk/lab/purses.py
+++ b/firwalk/lab/purses.py
@@ -13,10 +13,10 @@
 
 from firwalk.broker.contracts import Contracts, Team
 from firwalk.broker.ledger import Reservation
-from firwalk.cluster.cluster_member import Seat
-from firwalk.cluster.node_id_ranges import spelled
-from firwalk.cluster.quota_accounting import Spending
-from firwalk.cluster.quotas import Terms
+from firwalk.cluster.cluster_member import ClusterMember
+from firwalk.cluster.node_id_ranges import encode_ranges
+from firwalk.cluster.quota_accounting import QuotaAccounting
+from firwalk.cluster.quotas import QuotaPolicy
 from firwalk.cluster.rollout import BACK, CONTRACTS, DONE, GOING, STOPPED
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch, drawn
@@ -46,25 +46,27 @@
         schedule: Schedule,
         contracts: list[Contracts],
         drift: float = 0.01,
-        make: Callable[..., Seat] = Seat,
-        prepare: Callable[[Spending], None] = lambda spending: None,
-        terms: Terms | None = None,
+        make: Callable[..., ClusterMember] = ClusterMember,
+        prepare: Callable[[QuotaAccounting], None] = lambda spending: None,
+        terms: QuotaPolicy | None = None,
         staged: bool = False,
     ):
         self.schedule, self.contracts, self.make, self.prepare = schedule, contracts, make, prepare
         self.staged, self.without = staged, schedule.seed % 3 and -1  # one seat may lack the change's file
         self.names = list(dict.fromkeys(team.name for one in contracts for team in one.teams))
-        self.terms = terms or Terms(LENGTH, drift)
+        self.terms = terms or QuotaPolicy(LENGTH, drift)
         self.chance = random.Random(schedule.seed ^ 0xB0D9E7)
         self.judge, self.newest = Judge(), 0
-        self.spending: dict[int, Spending] = {}
+        self.spending: dict[int, QuotaAccounting] = {}
         self.parts = 0
         self.world = World(schedule, self._begin)
         self.world.watchers += [Watch(self.judge), self]
 
-    def _begin(self, host: Process, number: int, seats: int, life: int, now: float, **named: Any) -> Seat:
-        seat = self.make(host, number, seats, life, now, budgets_by=self.terms, **named)
-        made = self.spending[number] = Spending(
+    def _begin(
+        self, host: Process, number: int, seats: int, generation: int, now: float, **named: Any
+    ) -> ClusterMember:
+        seat = self.make(host, number, seats, generation, now, budgets_by=self.terms, **named)
+        made = self.spending[number] = QuotaAccounting(
             seat,
             host.clock,
             lambda: host.world.now,
@@ -161,7 +163,7 @@
     def look(self, now: float, up: list[int]) -> dict[str, Any]:
         state, named = self._state()
         return (
-            {"stages": {"kind": CONTRACTS, "state": state, "new": spelled(list(range(named)))}}
+            {"stages": {"kind": CONTRACTS, "state": state, "new": encode_ranges(list(range(named)))}}
             if state
             else {}
         )
@@ -196,15 +198,15 @@
 def played(
     seed: int,
     drift: float = 0.01,
-    make: Callable[..., Seat] = Seat,
-    prepare: Callable[[Spending], None] = lambda spending: None,
+    make: Callable[..., ClusterMember] = ClusterMember,
+    prepare: Callable[[QuotaAccounting], None] = lambda spending: None,
     staged: bool = False,
 ) -> Played:
     schedule = drawn(seed, drift)
     schedule.changes = 0.0
     length = random.Random(seed ^ 0x1E45E).choice((LENGTH, LONG))
     told = brought(seed) if staged else contracts(seed)
-    return Fleet(schedule, told, make=make, prepare=prepare, terms=Terms(length), staged=staged).run()
+    return Fleet(schedule, told, make=make, prepare=prepare, terms=QuotaPolicy(length), staged=staged).run()
 
 
 def _one(about: tuple[int, float]) -> tuple[int, Played]:
--- a/firwalk/lab/rig.py
+++ b/firwalk/lab/rig.py
@@ -245,12 +245,12 @@
                 if program.killed_at:
                     seen.append((program.killed_at, 1, node.number, 0, "killed", {}, 1.0))
         for answer in self.faults.answers:
-            seen.append((answer.at, 2, answer.node, answer.life, "", {"term": answer.term}, 1.0))
-        for at, _, seat, life, what, about, rate in sorted(seen, key=lambda one: one[:2]):
+            seen.append((answer.at, 2, answer.node, answer.generation, "", {"term": answer.term}, 1.0))
+        for at, _, seat, generation, what, about, rate in sorted(seen, key=lambda one: one[:2]):
             if what:
-                judge.seen(at, seat, life, what, about, rate)
+                judge.seen(at, seat, generation, what, about, rate)
             else:
-                judge.answered(at, seat, life, about["term"])
+                judge.answered(at, seat, generation, about["term"])
         judge.over(self.ended)
         return judge
 
--- a/firwalk/lab/rolls.py
+++ b/firwalk/lab/rolls.py
@@ -12,17 +12,17 @@
 
 from msgspec.structs import replace
 
-from firwalk.cluster.canary_analysis import Comparison, Verdict
-from firwalk.cluster.cluster_member import Seat
-from firwalk.cluster.rollout import DONE, STOPPED, Terms
-from firwalk.cluster.rollout_controller import Changing, Tally
-from firwalk.config.rollout_file import Change, Compare
+from firwalk.cluster.canary_analysis import CanaryAnalysis, Verdict
+from firwalk.cluster.cluster_member import ClusterMember
+from firwalk.cluster.rollout import DONE, STOPPED, RolloutPolicy
+from firwalk.cluster.rollout_controller import RolloutController, RolloutCounters
+from firwalk.config.rollout_file import CanaryLimits, RolloutSpec
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch
 from firwalk.lab.virtual import Fault, Process, Schedule, World
 
 ZONES = 3
-CHANGE = Change("v1", release="v2", compare=Compare(seconds=4.0, most=60.0))
+CHANGE = RolloutSpec("v1", release="v2", compare=CanaryLimits(seconds=4.0, most=60.0))
 CHECK = 77  # the checksum of its file
 REPLACE = 1.5  # seconds that an agent takes to have the other version
 LOOK = 0.25  # seconds between two looks of an agent
@@ -67,7 +67,7 @@
         new: Version | None = None,
         until: float = 200.0,
         faults: tuple[Fault, ...] = (),
-        change: Change = CHANGE,
+        change: RolloutSpec = CHANGE,
         rate: float = 8.0,
         seed: int = 3,
         zones: int = ZONES,
@@ -78,7 +78,7 @@
         self.files = {seat: {"c": (change, CHECK)} for seat in range(seats)}
         self.runs = dict.fromkeys(range(seats), "v1")  # what each machine's disk has to start
         self.tried: dict[int, list[int]] = {}  # numbers of changes that did not come up there
-        self.made: dict[int, Changing] = {}
+        self.made: dict[int, RolloutController] = {}
         self.on: dict[int, tuple[str, float]] = {}  # the version of each seat, and since when
         self.switching: dict[int, str] = {}
         self.most_new, self.tasks, self.met = 0, 0, 0
@@ -95,16 +95,18 @@
         self.world.watchers.append(Watch(self.judge))
         self.world.later(0.1, self._tick)
 
-    def _make(self, host: Process, seat: int, seats: int, life: int, now: float, **named: Any) -> Seat:
-        made, release = Seat(host, seat, seats, life, now, **named), self.runs[seat]
-        part = self.made[seat] = Changing(
+    def _make(
+        self, host: Process, seat: int, seats: int, generation: int, now: float, **named: Any
+    ) -> ClusterMember:
+        made, release = ClusterMember(host, seat, seats, generation, now, **named), self.runs[seat]
+        part = self.made[seat] = RolloutController(
             made,
-            Tally(),
+            RolloutCounters(),
             release,
             lambda: "",
             seat % self.zones,
             lambda: 2e7 + self.leaked(seat),
-            Terms(0.25, 3.0, 0.5, ("a", "b", "c")),
+            RolloutPolicy(0.25, 3.0, 0.5, ("a", "b", "c")),
             lambda name: self._named(seat, name),
         )
         if part.roll is not None and self.way != WAYS[0]:
@@ -132,7 +134,7 @@
         told = self.versions[release]
         return told if not told.on or seat in told.on else Version()
 
-    def _named(self, seat: int, name: str) -> tuple[Change | None, int, list[str]]:
+    def _named(self, seat: int, name: str) -> tuple[RolloutSpec | None, int, list[str]]:
         change, check = self.files[seat].get(name, (None, 0))
         return change, check, [] if change else [f"{name}: no such file"]
 
@@ -234,7 +236,7 @@
         return [self.on[seat][0] for seat in range(len(self.on))]
 
 
-class Passed(Comparison):
+class Passed(CanaryAnalysis):
     """Says that all is fine, whatever came."""
 
     def judged(self) -> tuple[Verdict, None]:
--- a/firwalk/lab/scenario.py
+++ b/firwalk/lab/scenario.py
@@ -231,7 +231,7 @@
     known = SHIPPED / f"{path}.toml"
     if not Path(path).exists() and known.exists():
         path = str(known)
-    scenario, faults = validation.from_toml(Scenario, path)
+    scenario, faults = validation.load_toml(Scenario, path)
     if scenario is not None:
         faults = [f"{path}: {fault}" for fault in _misfits(scenario)]
     return (None if faults else scenario), faults
--- a/firwalk/lab/schedules.py
+++ b/firwalk/lab/schedules.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from multiprocessing import Pool
 
-from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.messages import Answer
 from firwalk.lab.invariants import Judge
 from firwalk.lab.virtual import Fault, Process, Schedule, World
@@ -27,11 +27,11 @@
         self.judge = judge
 
     def happened(self, now: float, process: Process, what: str, about: dict) -> None:
-        self.judge.seen(now, process.number, process.life, what, about, process.rate)
+        self.judge.seen(now, process.number, process.generation, what, about, process.rate)
 
     def sent(self, now: float, process: Process, seat: int, message: object) -> None:
         if isinstance(message, Answer):
-            self.judge.answered(now, process.number, process.life, message.term)
+            self.judge.answered(now, process.number, process.generation, message.term)
 
 
 def drawn(seed: int, drift: float = 0.01) -> Schedule:
@@ -73,17 +73,17 @@
     return Fault(at, length, kind, value=chance.choice((0.2, 0.5)))
 
 
-def played(schedule: Schedule, make: Callable[..., Seat] = Seat) -> tuple[Judge, World]:
+def played(schedule: Schedule, make: Callable[..., ClusterMember] = ClusterMember) -> tuple[Judge, World]:
     judge = Judge()
     world = World(schedule, make)
-    for _, number, life, what, about in world.history:
-        judge.seen(0.0, number, life, what, about)
+    for _, number, generation, what, about in world.history:
+        judge.seen(0.0, number, generation, what, about)
     world.watchers.append(Watch(judge))
     world.run()
     return judge, world
 
 
-def shrunk(schedule: Schedule, make: Callable[..., Seat] = Seat) -> Schedule:
+def shrunk(schedule: Schedule, make: Callable[..., ClusterMember] = ClusterMember) -> Schedule:
     """The same break with as few faults as leaving out one after the other finds."""
     again = True
     while again:
@@ -110,7 +110,9 @@
     return "\n".join([*lines, *(f"  {line}" for line in first.history), str(first)])
 
 
-def first_caught(make: Callable[..., Seat], most: int, start: int = 0, drift: float = 0.01) -> int | None:
+def first_caught(
+    make: Callable[..., ClusterMember], most: int, start: int = 0, drift: float = 0.01
+) -> int | None:
     """How many schedules a mutant needed to be caught; None: it was not."""
     for number in range(most):
         if played(drawn(start + number, drift), make)[0].breaks:
--- a/firwalk/lab/sharing.py
+++ b/firwalk/lab/sharing.py
@@ -12,7 +12,7 @@
 
 from firwalk.broker.contracts import Contracts, Team
 from firwalk.broker.ledger import Reservation
-from firwalk.cluster.quotas import Terms
+from firwalk.cluster.quotas import QuotaPolicy
 from firwalk.lab import purses
 from firwalk.lab.virtual import Fault, Process, Schedule
 
@@ -23,9 +23,9 @@
 WAYS = ("leased", "static", "alone")
 
 
-def terms(way: str, nodes: int) -> Terms:
+def terms(way: str, nodes: int) -> QuotaPolicy:
     """`static`: the whole is floors, an equal part for each for good; `alone`: each has the whole."""
-    return Terms(LENGTH, 0.01, {"leased": 0.05, "static": 1.0, "alone": float(nodes)}[way])
+    return QuotaPolicy(LENGTH, 0.01, {"leased": 0.05, "static": 1.0, "alone": float(nodes)}[way])
 
 
 @dataclass
--- a/firwalk/lab/versions.py
+++ b/firwalk/lab/versions.py
@@ -42,12 +42,12 @@
     """`change(desk, errand, how, again)` sees each outcome; `again(how)` reports it."""
     from firwalk.dispatcher import dispatcher
 
-    real = dispatcher.Desk.report_outcome
+    real = dispatcher.Dispatcher.report_outcome
 
-    def report(self, errand, number, how, load=None, result=b""):
-        change(self, errand, how, lambda how: real(self, errand, number, how, load, result))
+    def report(self, pending, number, how, load=None, result=b""):
+        change(self, pending, how, lambda how: real(self, pending, number, how, load, result))
 
-    dispatcher.Desk.report_outcome = report
+    dispatcher.Dispatcher.report_outcome = report
 
 
 def errors() -> None:
@@ -56,8 +56,8 @@
 
     chance = random.Random(os.getpid())
 
-    def change(desk, errand, how, again):
-        spoilt = how is Outcome.FINISHED and chance.random() < ERRORS
+    def change(dispatcher, pending, how, again):
+        spoilt = how is Outcome.COMPLETED and chance.random() < ERRORS
         again(Outcome.ERROR if spoilt else how)
 
     _outcomes(change)
@@ -69,11 +69,11 @@
 
     from firwalk.policy.interface import Outcome
 
-    def change(desk, errand, how, again):
-        if how is not Outcome.FINISHED:
+    def change(dispatcher, pending, how, again):
+        if how is not Outcome.COMPLETED:
             again(how)
             return
-        wait = (desk.clock() - errand.task.assignments[-1].sent) * (TIMES - 1.0)
+        wait = (dispatcher.clock() - pending.request.attempts[-1].sent_at) * (TIMES - 1.0)
         asyncio.get_running_loop().call_later(wait, again, how)
 
     _outcomes(change)
@@ -83,9 +83,9 @@
     """Takes all answers to one offering, the last by name, for errors."""
     from firwalk.policy.interface import Outcome
 
-    def change(desk, errand, how, again):
-        mine = errand.about[0] == max(desk.offerings)
-        again(Outcome.ERROR if mine and how is Outcome.FINISHED else how)
+    def change(dispatcher, pending, how, again):
+        mine = pending.labels[0] == max(dispatcher.request_classes)
+        again(Outcome.ERROR if mine and how is Outcome.COMPLETED else how)
 
     _outcomes(change)
 
@@ -166,7 +166,7 @@
     """Ends at the first task that comes over from the process before."""
     from firwalk.net import hot_restart
 
-    hot_restart.Succession._resume = lambda self, *about: os._exit(5)
+    hot_restart.HotRestart._resume = lambda self, *about: os._exit(5)
 
 
 def _number() -> str:
--- a/firwalk/lab/virtual.py
+++ b/firwalk/lab/virtual.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from firwalk.cluster import messages as m
-from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.host import State
 
 MOST_HELD = 200  # datagrams that the machine keeps for a process that sleeps
@@ -62,10 +62,10 @@
     def __init__(self, world: World, number: int, rate: float):
         self.world, self.number, self.rate = world, number, rate
         self.base = world.chance.random() * 1000.0  # its clock began at some other time
-        self.life = world.chance.getrandbits(32)
+        self.generation = world.chance.getrandbits(32)
         self.alive, self.paused_until = True, 0.0
         self.kept: list[tuple] = []
-        self.seat: Seat | None = None
+        self.seat: ClusterMember | None = None
 
     def clock(self) -> float:
         return self.base + self.world.now * self.rate
@@ -90,7 +90,9 @@
 
 
 class World:
-    def __init__(self, schedule: Schedule, make: Callable[..., Seat] = Seat, by_bytes: bool = False):
+    def __init__(
+        self, schedule: Schedule, make: Callable[..., ClusterMember] = ClusterMember, by_bytes: bool = False
+    ):
         self.schedule, self.make, self.by_bytes = schedule, make, by_bytes
         self.chance = random.Random(schedule.seed)
         self.now, self.label, self.heap = 0.0, 0, []
@@ -133,12 +135,12 @@
             process,
             number,
             self.schedule.seats,
-            process.life,
+            process.generation,
             now,
             voters=self.schedule.voters,
             **self.schedule.settings,
         )
-        self.happened(process, "began", {"life": process.life})
+        self.happened(process, "began", {"life": process.generation})
         process.seat.start(now)
 
     def kill(self, number: int) -> None:
@@ -211,10 +213,10 @@
         self.counts["datagrams"] += 1
         self.out[process.number] += 1
         mine = process.seat.members.me if process.seat is not None else None
-        head = (process.number, process.life, mine.incarnation if mine else 0)
+        head = (process.number, process.generation, mine.incarnation if mine else 0)
         data = None
         if self.by_bytes:
-            data = m.packed(7, *head, message)
+            data = m.encode(7, *head, message)
             self.counts["bytes"] += len(data)
             self.bytes_out[process.number] += len(data)
         if seat == process.number:
@@ -235,23 +237,29 @@
             )
 
     def _arrive(
-        self, seat: int, sender: int, life: int, incarnation: int, message: m.Message, data: bytes | None
+        self,
+        seat: int,
+        sender: int,
+        generation: int,
+        incarnation: int,
+        message: m.Message,
+        data: bytes | None,
     ) -> None:
         process = self.processes[seat]
         if not process.alive:
             return
         if self.now < process.paused_until:
             if len(process.kept) < MOST_HELD:
-                process.kept.append((seat, sender, life, incarnation, message, data))
+                process.kept.append((seat, sender, generation, incarnation, message, data))
             return
         if data is not None:
-            sender, life, incarnation, message = m.unpacked(7, data)
-        process.seat.received(process.clock(), sender, life, incarnation, message)
+            sender, generation, incarnation, message = m.decode(7, data)
+        process.seat.received(process.clock(), sender, generation, incarnation, message)
 
     # -- what is seen ------------------------------------------------------------------------------------
 
     def happened(self, process: Process, what: str, about: dict) -> None:
-        self.history.append((self.now, process.number, process.life, what, about))
+        self.history.append((self.now, process.number, process.generation, what, about))
         for watcher in self.watchers:
             watcher.happened(self.now, process, what, about)
 
--- a/firwalk/migrate.py
+++ b/firwalk/migrate.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from firwalk.config.node_config import ZONES, check, in_short, load
+from firwalk.config.node_config import ZONES, load, one_line, validate
 
 # Setting, its value in the new shape, and why.
 NEW_SHAPE = (
@@ -98,13 +98,13 @@
     given = parser.parse_args(words)
     try:
         new, lines = convert(load(given.old))
-        check(new)
+        validate(new)
         if os.path.lexists(given.new):
             raise FileExistsError(f"{given.new} exists, and is not written over")
         if not given.dry_run:
             _write(given.new, orjson.dumps(new, option=orjson.OPT_INDENT_2) + b"\n")
     except Exception as problem:  # whatever is wrong with it, operators want one plain line
-        print(f"firwalk.migrate: cannot convert {given.old}: {in_short(problem)}", file=sys.stderr)
+        print(f"firwalk.migrate: cannot convert {given.old}: {one_line(problem)}", file=sys.stderr)
         return 2
     print("\n".join(lines))
     print(f"{given.new} {'would be' if given.dry_run else 'is'} written")
--- a/firwalk/net/budget.py
+++ b/firwalk/net/budget.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable
 
-from firwalk.observability.log import must
+from firwalk.observability.log import check_invariant
 
 BASE = 20  # listener, list, peers, event loop, standard streams
 SPARE_PART = 0.125  # of the rest: for clients that are told 503
@@ -89,11 +89,11 @@
     def close_client(self, spare: bool) -> None:
         self.clients -= not spare
         self.spare -= spare
-        must(min(self.clients, self.spare) >= 0, "a client's connection is counted once")
+        check_invariant(min(self.clients, self.spare) >= 0, "a client's connection is counted once")
 
     def close_link(self) -> None:
         self.links -= 1
-        must(self.links >= 0, "an executor's connection is counted once")
+        check_invariant(self.links >= 0, "an executor's connection is counted once")
 
     def hold(self, size: int) -> bool:
         if self.bodies + size > self.most_bodies:
@@ -103,4 +103,4 @@
 
     def let_go(self, size: int) -> None:
         self.bodies -= size
-        must(self.bodies >= 0, "a body is let go once")
+        check_invariant(self.bodies >= 0, "a body is let go once")
--- a/firwalk/net/buffers.py
+++ b/firwalk/net/buffers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firwalk.observability.log import must
+from firwalk.observability.log import check_invariant
 
 SIZE = 8192
 
@@ -17,6 +17,6 @@
         return self.free.pop() if self.free else bytearray(SIZE)
 
     def give(self, buffer: bytearray) -> None:
-        must(len(buffer) == SIZE and self.out > 0, "a buffer comes back once and in its size")
+        check_invariant(len(buffer) == SIZE and self.out > 0, "a buffer comes back once and in its size")
         self.out -= 1
         self.free.append(buffer)
--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from time import monotonic
 
-from firwalk.dispatcher.dispatcher import Desk, Errand, Step
+from firwalk.dispatcher.dispatcher import Action, Dispatcher, PendingRequest
 from firwalk.net import fields, http
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
@@ -19,8 +19,8 @@
 from firwalk.net.executors import Executors
 from firwalk.net.stalls import Stalls
 from firwalk.net.waiting import hung_up, readable, received
-from firwalk.observability.events import CloseReason, Event, EventLog, Refusal
-from firwalk.observability.log import must, say, trouble
+from firwalk.observability.events import CloseReason, Event, EventLog, FailureReason
+from firwalk.observability.log import check_invariant, log_exception, log_external
 from firwalk.observability.monitor import Monitor, Rule
 
 HEALTH = b"/_health"
@@ -53,7 +53,7 @@
         self.parser = http.Incoming(self._came, clients.budget.hold, clients.budget.let_go)
         self.waiting: deque[tuple] = deque()
         self.room = asyncio.get_running_loop().create_future()
-        self.busy, self.used, self.known, self.errand, self.writing = False, False, False, None, None
+        self.busy, self.used, self.known, self.pending, self.writing = False, False, False, None, None
         self.message: tuple = ()  # of its task: id, target, headers, body, keep
         self.heard_at, self.closing, self.gone = monotonic(), False, False
         # What is there already when it is let in may have waited since then; None once that is read.
@@ -91,7 +91,7 @@
         except http.Malformed as problem:
             await self._spoilt(problem, buffer)
         except Exception as problem:
-            trouble("reading from a client", problem)
+            log_exception("reading from a client", problem)
         finally:
             view.release()
             self.clients.buffers.give(buffer)
@@ -111,7 +111,7 @@
         came before has its own answers first: a 503 in place of them would promise a harmless retry of what
         may have run."""
         self.clients.malformed += 1
-        say(f"a client's bytes: {problem}")
+        log_external(f"a client's bytes: {problem}")
         if problem.status == NO_ROOM:
             self.parser.drop()
             while self.busy or self.waiting:
@@ -130,10 +130,10 @@
         while self.waiting:
             self.clients.budget.let_go(len(self.waiting.popleft()[3]))
         self.parser.drop()
-        errand, self.errand = self.errand, None
-        if errand is not None:
+        pending, self.pending = self.pending, None
+        if pending is not None:
             self.busy = False
-            self.clients.desk.report_gone(errand)
+            self.clients.dispatcher.report_client_left(pending)
 
     def _closed(self, _: asyncio.Task) -> None:
         """Also where the reader was cancelled before it began: its own `finally` would not run then."""
@@ -180,7 +180,7 @@
 
     async def answer(self, status: int, body: bytes, keep: bool, advice: float = 0.0) -> None:
         """Writes an answer and goes on to what waits; the connection's reader notices its end."""
-        must(self.busy, "an answer belongs to a message")
+        check_invariant(self.busy, "an answer belongs to a message")
         more = keep  # whether its client may send more, by its own word or ours
         keep = keep and not self.clients.stopping or bool(self.waiting)  # those have been taken too
         if 400 <= status < 500 and self.waiting and not self.gone and self.clients.all_bad(self.waiting):
@@ -232,7 +232,7 @@
     def leave(self, status: int, why: str) -> None:
         """Nothing more is read from it; it is told the status, and the connection ends with that."""
         self.clients.malformed += 1
-        say(f"a client's bytes: {why}")
+        log_external(f"a client's bytes: {why}")
         self.refuse(status, CloseReason.MALFORMED)
 
     def refuse(self, status: int, reason: CloseReason) -> None:
@@ -293,14 +293,14 @@
 
     def __init__(
         self,
-        desk: Desk,
+        dispatcher: Dispatcher,
         executors: Executors,
         budget: Budget,
         buffers: Buffers,
         monitor: Monitor | None = None,
     ):
         self.monitor = monitor or Monitor(EventLog(), monotonic)
-        self.desk, self.executors, self.budget, self.buffers = desk, executors, budget, buffers
+        self.dispatcher, self.executors, self.budget, self.buffers = dispatcher, executors, budget, buffers
         self.open: dict[Client, None] = {}
         # Of these, the one that has been still longest first: sent away; without a task yet; with one before.
         self.departing: dict[Client, None] = {}
@@ -332,7 +332,7 @@
                 except BlockingIOError:  # that was all, or another process of this node was quicker
                     break
                 except OSError as problem:
-                    say(f"no connection accepted: {problem}")
+                    log_external(f"no connection accepted: {problem}")
                     if concerns_connection(problem):
                         continue
                     await asyncio.sleep(pause.next())
@@ -373,19 +373,19 @@
         (self.rested if known else self.untried)[client] = None
         return client
 
-    def resume(self, sock: socket.socket, errand: Errand, message: tuple) -> None:
+    def resume(self, sock: socket.socket, pending: PendingRequest, message: tuple) -> None:
         """A client whose task another process of this node had; no answer to it has been begun there."""
         client = self.adopt(sock, True)
-        client.busy, client.errand, client.message = True, errand, message
-        self.keep(asyncio.get_running_loop().create_task(self._resumed(client, errand, message)))
+        client.busy, client.pending, client.message = True, pending, message
+        self.keep(asyncio.get_running_loop().create_task(self._resumed(client, pending, message)))
 
-    async def _resumed(self, client: Client, errand: Errand, message: tuple) -> None:
+    async def _resumed(self, client: Client, pending: PendingRequest, message: tuple) -> None:
         name, size = message[0], len(message[3])
         self.names[name], held = None, self.budget.hold(size)
         try:
-            await self._attend(client, errand, *message)
+            await self._attend(client, pending, *message)
         except Exception as problem:
-            trouble("attending to a client of the process before", problem)
+            log_exception("attending to a client of the process before", problem)
             client.close(CloseReason.FAILURE)
         finally:
             del self.names[name]
@@ -411,7 +411,7 @@
 
     def movable(self, client: Client) -> bool:
         """Its task may go over: nothing else is read from it, and no answer begun."""
-        return client.errand is not None and not (
+        return client.pending is not None and not (
             client.gone or client.closing or client.leaving or client.parser.partial or client.waiting
         )
 
@@ -478,7 +478,9 @@
         if method == b"GET" and target == HEALTH:
             return True
         try:
-            return method == b"POST" and self.desk.takes(fields.read(target, headers)[1]["offering"])
+            return method == b"POST" and self.dispatcher.has_request_class(
+                fields.read(target, headers)[1]["request_class"]
+            )
         except fields.Unreadable:
             return False
 
@@ -510,7 +512,7 @@
             else:
                 await client.answer(503 if self.ending else 200, b"", keep)
         except Exception as problem:
-            trouble("attending to a client", problem)
+            log_exception("attending to a client", problem)
             client.close(CloseReason.FAILURE)
         finally:
             self.budget.let_go(len(body))
@@ -521,37 +523,41 @@
         try:
             name, told = fields.read(target, headers)
         except fields.Unreadable:
-            self._refused(b"", 400, Refusal.BAD_REQUEST)
+            self._refused(b"", 400, FailureReason.BAD_REQUEST)
             await client.answer(400, b"", keep)
             return
         # Told before its bytes were read, the answer would be lost with the connection, and the task with it.
         if client.spare and not await self._settled(client):
-            say("no descriptor is left for a client: its task is told 503")
-            self._refused(name, 503, Refusal.NO_DESCRIPTOR)
+            log_external("no descriptor is left for a client: its task is told 503")
+            self._refused(name, 503, FailureReason.NO_DESCRIPTOR)
             await client.answer(503, b"", False)
             return
         if name in self.names:  # executors know tasks by their ids: two of one id would end as one
-            self._refused(name, 409, Refusal.DUPLICATE_ID)
+            self._refused(name, 409, FailureReason.DUPLICATE_ID)
             await client.answer(409, b"", keep)
             return
-        errand = self.desk.report_task(
+        pending = self.dispatcher.report_request(
             waited=monotonic() - came_at, request_id=name.decode("latin-1"), **told
         )
-        if errand is None and told["offering"] in self.desk.vanished:
-            self._refused(name, 503, Refusal.CLASS_GONE)
-            await client.answer(503, b"", keep, self.desk.node.longest_advice)  # nothing of it has run
+        if pending is None and told["request_class"] in self.dispatcher.removed_classes:
+            self._refused(name, 503, FailureReason.CLASS_GONE)
+            await client.answer(
+                503, b"", keep, self.dispatcher.policy.max_retry_after
+            )  # nothing of it has run
             return
-        if errand is None:
-            self._refused(name, 400, Refusal.BAD_REQUEST)
-            await client.answer(400 if told["offering"] in self.desk.offerings else 404, b"", keep)
+        if pending is None:
+            self._refused(name, 400, FailureReason.BAD_REQUEST)
+            await client.answer(
+                400 if told["request_class"] in self.dispatcher.request_classes else 404, b"", keep
+            )
             return
-        client.errand, client.known, self.names[name] = errand, True, None
-        errand.left = partial(hung_up, client.sock)
+        client.pending, client.known, self.names[name] = pending, True, None
+        pending.has_client_left = partial(hung_up, client.sock)
         client.message = name, target, headers, body, keep
         if client.gone:
-            self.desk.report_gone(errand)
+            self.dispatcher.report_client_left(pending)
         try:
-            await self._attend(client, errand, name, target, headers, body, keep)
+            await self._attend(client, pending, name, target, headers, body, keep)
         finally:
             del self.names[name]
 
@@ -570,7 +576,7 @@
     async def _attend(
         self,
         client: Client,
-        errand: Errand,
+        pending: PendingRequest,
         name: bytes,
         target: bytes,
         headers: dict,
@@ -578,27 +584,32 @@
         keep: bool,
     ) -> None:
         """Does what each step says, until nothing more can come."""
-        while (step := await self.desk.pick(errand)) is not None:
+        while (step := await self.dispatcher.next_action(pending)) is not None:
             kind = step[0]
-            if kind is Step.SEND:
+            if kind is Action.SEND:
                 _, number, place, end, once = step
                 self.executors.carry(
-                    errand, number, place, name, _message(target, headers, body, end, self.desk.clock), once
+                    pending,
+                    number,
+                    place,
+                    name,
+                    _message(target, headers, body, end, self.dispatcher.clock),
+                    once,
                 )
-            elif kind is Step.CALL_OFF:
-                self.executors.call_off(errand, step[1])
-            elif client.errand is not errand:
+            elif kind is Action.CALL_OFF:
+                self.executors.call_off(pending, step[1])
+            elif client.pending is not pending:
                 pass  # the client has been sent away meanwhile
-            elif kind is Step.FINISHED:
+            elif kind is Action.FINISHED:
                 self._answer(client, 200, step[1], keep)
-            elif kind is Step.BOUNCED:
-                self._answer(client, 503, b"", keep, step[1], errand.refusal)
-            elif kind is Step.UNFIT:
-                self._answer(client, 400, b"", keep, reason=Refusal.BAD_REQUEST)
+            elif kind is Action.BOUNCED:
+                self._answer(client, 503, b"", keep, step[1], pending.failure_reason)
+            elif kind is Action.UNFIT:
+                self._answer(client, 400, b"", keep, reason=FailureReason.BAD_REQUEST)
             else:
-                self._answer(client, 500, b"", keep, reason=errand.refusal)
+                self._answer(client, 500, b"", keep, reason=pending.failure_reason)
 
-    def _refused(self, request_id: bytes, status: int, reason: Refusal) -> None:
+    def _refused(self, request_id: bytes, status: int, reason: FailureReason) -> None:
         """Counts a request that is turned away before it is anybody's."""
         self.monitor.events.record(
             Event.REQUEST_ANSWERED, reason, request_id.decode("latin-1"), status=status
@@ -614,9 +625,9 @@
         reason: str = "served",
     ) -> None:
         """Beside the steps: a client that is slow to read must not keep assignments from being called off."""
-        if client.errand.record is not None:
-            self.monitor.answered(client.errand.record, status, reason)
-        client.errand = None
+        if client.pending.record is not None:
+            self.monitor.answered(client.pending.record, status, reason)
+        client.pending = None
         self.keep(asyncio.get_running_loop().create_task(client.answer(status, body, keep, advice)))
 
 
--- a/firwalk/net/cluster.py
+++ b/firwalk/net/cluster.py
@@ -17,13 +17,13 @@
 import orjson
 
 from firwalk.cluster import messages
-from firwalk.cluster.cluster_member import Seat
-from firwalk.cluster.plan_enforcement import Steering
+from firwalk.cluster.cluster_member import ClusterMember
+from firwalk.cluster.plan_enforcement import PlanEnforcer
 from firwalk.cluster.zones import REGION, Mode
-from firwalk.config.operations import LIVE, Operations
-from firwalk.dispatcher.dispatcher import Desk
+from firwalk.config.operations import LIVE, OperationsConfig
+from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.observability import log
-from firwalk.observability.log import say, trouble
+from firwalk.observability.log import log_exception, log_external
 
 VOTER_SILENT = 1.5  # lengths of the lease for which a voter that began must have told, before others go
 EARLY = 0.0005  # seconds by which a timer of the loop may be early on the clock
@@ -34,18 +34,18 @@
 
     def __init__(
         self,
-        operations: Operations,
+        operations: OperationsConfig,
         config: dict,
         send: Callable[[bytes, tuple[str, int]], None],
         addresses: list[tuple[str, int]],
-        desk: Desk,
+        dispatcher: Dispatcher,
     ):
-        self.operations, self.send, self.addresses, self.desk = operations, send, addresses, desk
+        self.operations, self.send, self.addresses, self.dispatcher = operations, send, addresses, dispatcher
         self.zone, self.zones = config["settings"].get("az", 0), config["settings"].get("azs") or []
         self.number = config["settings"].get("self-index", 0)
-        self.fleet = messages.fleet_mark(operations.fleet.name)
-        self.seat: Seat | None = None
-        self.steering: Steering | None = None
+        self.fleet = messages.cluster_checksum(operations.fleet.name)
+        self.seat: ClusterMember | None = None
+        self.steering: PlanEnforcer | None = None
         self.spending: Any = None
         self.changing: Any = None
         self.tag: Callable[[], str] = lambda: ""  # of the configuration that is in force
@@ -59,13 +59,13 @@
     def start(self) -> None:
         """A voter's silence begins here: what a process before may have granted is over before it grants."""
         told = self.operations
-        life = int.from_bytes(os.urandom(4))
+        generation = int.from_bytes(os.urandom(4))
         now = time.monotonic()
-        self.seat = Seat(
+        self.seat = ClusterMember(
             _Life(self),
             self.number,
             len(self.addresses),
-            life,
+            generation,
             now,
             voters=told.lease.voters,
             length=told.lease.length,
@@ -80,12 +80,12 @@
         if told.zones or told.budgets:
             zones = len(self.zones) if told.zones else 0
             self.spending = _spending(told, self.seat)
-            self.steering = Steering(self.seat, self.desk, self.zone, zones, now, self.spending)
+            self.steering = PlanEnforcer(self.seat, self.dispatcher, self.zone, zones, now, self.spending)
         if told.stages:
             self.changing = _changing(self, told)
         if self.changing is not None and self.spending is not None:
             self.changing.contracts_version = self.spending.version
-        self.event("began", life=life)
+        self.event("began", life=generation)
         self.seat.start(now)
         if self.changing is not None:
             self.changing.start(now)
@@ -97,7 +97,7 @@
             if self.seat.candidate is not None:
                 self.seat.candidate.release(time.monotonic())
             self.event("ended")
-            self.seat, self.changing, self.desk.tally = None, None, None
+            self.seat, self.changing, self.dispatcher.rollout_counters = None, None, None
             if self.steering is not None:
                 self.steering.stop()  # nobody is told any more: nothing is counted
 
@@ -107,7 +107,7 @@
             self.seat.leave(time.monotonic())
             self.stop()
 
-    def reload(self, operations: Operations) -> list[str]:
+    def reload(self, operations: OperationsConfig) -> list[str]:
         """Takes over what can change live; the names of what needs a restart."""
         before = self.operations
         fixed = [
@@ -117,7 +117,7 @@
             and (name not in LIVE or name == "zones" and not self._same_zones(operations))
         ]
         kept = {name: getattr(before, name) for name in fixed}
-        self.operations = Operations(
+        self.operations = OperationsConfig(
             **{name: kept.get(name, getattr(operations, name)) for name in before.__struct_fields__}
         )
         if self.seat is not None:
@@ -135,7 +135,7 @@
                 self.spending.follow(time.monotonic())
         return fixed
 
-    def _same_zones(self, operations: Operations) -> bool:
+    def _same_zones(self, operations: OperationsConfig) -> bool:
         """What else is told of zones can change live, not which there are, nor whether there is the part."""
         before, after = self.operations.zones, operations.zones
         return before is not None and after is not None and before.regions == after.regions
@@ -147,17 +147,17 @@
         if self.seat is None:
             return
         try:
-            sender, life, incarnation, message = messages.unpacked(self.fleet, data)
+            sender, generation, incarnation, message = messages.decode(self.fleet, data)
             if sender != number:
-                raise messages.Unreadable("a seat from another's address")
-        except messages.Unreadable as problem:
+                raise messages.MalformedMessage("a seat from another's address")
+        except messages.MalformedMessage as problem:
             self.drop(str(problem))
             return
         self.came += 1
         try:
-            self.seat.received(time.monotonic(), sender, life, incarnation, message)
+            self.seat.received(time.monotonic(), sender, generation, incarnation, message)
         except Exception as problem:
-            trouble("taking a datagram of the cluster", problem)
+            log_exception("taking a datagram of the cluster", problem)
 
     def drop(self, why: str) -> None:
         self.dropped[why] = self.dropped.get(why, 0) + 1
@@ -216,7 +216,7 @@
         from firwalk.config import rollout_file
 
         name, _, page = rest.partition(" ")
-        change, check, faults = rollout_file.named(self.operations.stages.changes, name)
+        change, check, faults = rollout_file.load_by_name(self.operations.stages.changes, name)
         if change is None:
             return "", "; ".join(faults)
         return await self._word(word, name, check, page)
@@ -309,33 +309,33 @@
                     "event": what,
                     "at": time.clock_gettime(time.CLOCK_MONOTONIC),
                     "seat": self.number,
-                    "life": self.seat.life if self.seat else 0,
+                    "life": self.seat.generation if self.seat else 0,
                     **about,
                 }
             )
-            log.write(f"cluster {text.decode()}")
+            log.log_unlimited(f"cluster {text.decode()}")
         elif what in WORDS:
-            say(f"cluster: {WORDS[what].format(**about)}")
+            log_external(f"cluster: {WORDS[what].format(**about)}")
 
 
-def _changing(cluster: Cluster, told: Operations) -> Any:
+def _changing(cluster: Cluster, told: OperationsConfig) -> Any:
     """Imported only where there is the part."""
-    from firwalk.cluster.rollout import Terms
-    from firwalk.cluster.rollout_controller import Changing, Tally
+    from firwalk.cluster.rollout import RolloutPolicy
+    from firwalk.cluster.rollout_controller import RolloutController, RolloutCounters
     from firwalk.config import rollout_file
 
-    cluster.desk.tally = Tally()
+    cluster.dispatcher.rollout_counters = RolloutCounters()
     settle = max(told.stages.settle, VOTER_SILENT * told.lease.length)
-    terms = Terms(told.stages.at_once, settle, told.plan.report, tuple(cluster.zones))
-    return Changing(
+    terms = RolloutPolicy(told.stages.at_once, settle, told.plan.report, tuple(cluster.zones))
+    return RolloutController(
         cluster.seat,
-        cluster.desk.tally,
+        cluster.dispatcher.rollout_counters,
         os.environ.get("FIRWALK_RELEASE", ""),
         cluster.tag,
         cluster.zone,
         _memory,
         terms,
-        partial(rollout_file.named, told.stages.changes),
+        partial(rollout_file.load_by_name, told.stages.changes),
     )
 
 
@@ -345,21 +345,21 @@
         return float(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def _budgets(told: Operations) -> Any:
+def _budgets(told: OperationsConfig) -> Any:
     """Imported only where there is the part."""
     if told.budgets is None:
         return None
-    from firwalk.cluster.quotas import Terms
+    from firwalk.cluster.quotas import QuotaPolicy
 
-    return Terms(told.budgets.length, told.lease.drift, told.budgets.floor)
+    return QuotaPolicy(told.budgets.length, told.lease.drift, told.budgets.floor)
 
 
-def _spending(told: Operations, seat: Seat) -> Any:
+def _spending(told: OperationsConfig, seat: ClusterMember) -> Any:
     if told.budgets is None:
         return None
-    from firwalk.cluster.quota_accounting import Spending
+    from firwalk.cluster.quota_accounting import QuotaAccounting
 
-    made = Spending(seat, time.monotonic, time.time, partial(_brought, told) if told.stages else _none)
+    made = QuotaAccounting(seat, time.monotonic, time.time, partial(_brought, told) if told.stages else _none)
     _read_contracts(told, made)
     return made
 
@@ -368,24 +368,24 @@
     """No changes by stages: nothing is looked for."""
 
 
-def _brought(told: Operations, version: int) -> Any:
+def _brought(told: OperationsConfig, version: int) -> Any:
     """Contracts of a change, by their file in the folder of changes."""
     from firwalk.config import rollout_file
 
     path = rollout_file.contracts_file(told.stages.changes, version)
-    found, faults = rollout_file.brought(path)
+    found, faults = rollout_file.load_contracts(path)
     for fault in faults if os.path.exists(path) else ():
-        say(f"contracts of a change: {fault}")
+        log_external(f"contracts of a change: {fault}")
     return found
 
 
-def _read_contracts(told: Operations, spending: Any) -> None:
+def _read_contracts(told: OperationsConfig, spending: Any) -> None:
     """Checked with the operators' file just before; one that was changed since and is bad changes nothing."""
     from firwalk.broker import contracts
 
     found, faults = contracts.load(told.budgets.contracts)
     for fault in faults:
-        say(f"contracts stay as they were: {fault}")
+        log_external(f"contracts stay as they were: {fault}")
     if found is not None:
         spending.has(found)
 
@@ -428,15 +428,17 @@
             return
         me = cluster.seat.members.me
         if seat == cluster.number:
-            cluster.loop.call_soon(self._own, me.life, me.incarnation, message)
+            cluster.loop.call_soon(self._own, me.generation, me.incarnation, message)
             return
-        data = messages.packed(cluster.fleet, cluster.number, me.life, me.incarnation, message)
+        data = messages.encode(cluster.fleet, cluster.number, me.generation, me.incarnation, message)
         cluster.sent, cluster.bytes_sent = cluster.sent + 1, cluster.bytes_sent + len(data)
         cluster.send(data, cluster.addresses[seat])
 
-    def _own(self, life: int, incarnation: int, message: messages.Message) -> None:
+    def _own(self, generation: int, incarnation: int, message: messages.Message) -> None:
         if self._lives():
-            self.cluster.seat.received(time.monotonic(), self.cluster.number, life, incarnation, message)
+            self.cluster.seat.received(
+                time.monotonic(), self.cluster.number, generation, incarnation, message
+            )
 
     def set_timer(self, when: float, act: Callable[[float, Any], None], about: Any) -> None:
         wait = max(when - time.monotonic(), 0.0)
@@ -452,7 +454,7 @@
         try:
             act(now, about)
         except Exception as problem:
-            trouble("running a timer of the cluster", problem)
+            log_exception("running a timer of the cluster", problem)
 
     def event(self, what: str, **about: Any) -> None:
         self.cluster.event(what, **about)
--- a/firwalk/net/control_channel.py
+++ b/firwalk/net/control_channel.py
@@ -25,7 +25,7 @@
 from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
 from firwalk.net.opening import SHORT_OF_RESOURCES
 from firwalk.net.waiting import readable
-from firwalk.observability.log import say, trouble
+from firwalk.observability.log import log_exception, log_external
 
 VERSION = 1
 ANSWER_TIME = 2.0  # seconds in which the one before must answer, or it hangs
@@ -39,11 +39,11 @@
 TOLD_TIME = 0.5  # seconds in which the other process takes over an operator's call
 
 
-class Broken(Exception):
+class ChannelClosed(Exception):
     """The other process says nothing that can be understood, or nothing at all."""
 
 
-class Line:
+class ControlChannel:
     """One connection between the two processes."""
 
     def __init__(self, sock: socket.socket):
@@ -105,7 +105,7 @@
                 self.say(about | {"number": number})
                 return bool(await done)
         except TimeoutError:
-            say("the other process of this node does not answer")
+            log_external("the other process of this node does not answer")
             return False
         finally:
             self.asked.pop(number, None)
@@ -127,22 +127,22 @@
                 await readable(self.sock)
                 continue
             except OSError as problem:
-                raise Broken(str(problem)) from problem
+                raise ChannelClosed(str(problem)) from problem
             for _, kind, data in beside:
                 if kind == socket.SCM_RIGHTS:
                     numbers = array("i", data[: len(data) // 4 * 4])
                     self.files.extend(_taken(number) for number in numbers)
             if not part or len(self.text) > MOST_TEXT:
-                raise Broken("it has ended")
+                raise ChannelClosed("it has ended")
             self.text += part
         line, _, self.text = self.text.partition(b"\n")
         try:
             about = orjson.loads(line)
             count = int(about.get("files", 0))
         except (orjson.JSONDecodeError, TypeError, ValueError, AttributeError) as problem:
-            raise Broken(f"it says nonsense: {problem}") from problem
+            raise ChannelClosed(f"it says nonsense: {problem}") from problem
         if count > len(self.files):
-            raise Broken("descriptors are missing")
+            raise ChannelClosed("descriptors are missing")
         return about, [self.files.popleft() for _ in range(count)]
 
     def close(self) -> None:
@@ -180,10 +180,10 @@
     return copies
 
 
-class Meeting:
+class RendezvousSocket:
     """The place in `$TMPDIR` where the next process of this node finds the one before."""
 
-    def __init__(self, folder: str, name: str, listen: str, come: Callable[[Line], None]):
+    def __init__(self, folder: str, name: str, listen: str, come: Callable[[ControlChannel], None]):
         self.folder, self.come = Path(folder), come
         stem = f"firwalk-{crc32(f'{name} {listen}'.encode()):08x}"
         self.path, self.file = self.folder / f"{stem}.sock", self.folder / f"{stem}.json"
@@ -198,7 +198,7 @@
         finally:
             os.close(folder)
 
-    def call(self) -> Line | None:
+    def call(self) -> ControlChannel | None:
         """Reaches the process that accepts now, if there is one."""
         try:
             sock = socket.socket(socket.AF_UNIX)
@@ -206,7 +206,7 @@
             return None
         try:
             self._reached(sock.connect)
-            line = Line(sock)
+            line = ControlChannel(sock)
             if line.same_user():
                 return line
         except OSError:
@@ -220,7 +220,7 @@
         if problem is None or problem.errno in SHORT_OF_RESOURCES:
             self.accepting = asyncio.get_running_loop().create_task(self._listen())
         else:
-            say(f"no process can take over from this one: {problem}")
+            log_external(f"no process can take over from this one: {problem}")
 
     def _bind(self) -> OSError | None:
         """What stands in the way, if something does."""
@@ -244,7 +244,7 @@
             await asyncio.sleep(pause.next())
             problem = self._bind()
             if problem is not None and problem.errno not in SHORT_OF_RESOURCES:
-                say(f"no process can take over from this one: {problem}")
+                log_external(f"no process can take over from this one: {problem}")
                 return
         await self._accept()
 
@@ -256,7 +256,7 @@
             except OSError:
                 await asyncio.sleep(AGAIN)
                 continue
-            line = Line(sock)
+            line = ControlChannel(sock)
             if line.same_user():
                 self.come(line)
             else:
@@ -282,7 +282,7 @@
             part.write_bytes(orjson.dumps(about | {"version": VERSION}))
             part.replace(self.file)
         except OSError as problem:
-            say(f"who is out cannot be kept: {problem}")
+            log_external(f"who is out cannot be kept: {problem}")
 
     def kept(self) -> dict:
         """What the file says, or nothing; one that cannot be used costs a line and no more."""
@@ -296,11 +296,13 @@
         except FileNotFoundError:
             return {}
         except (OSError, ValueError) as problem:
-            say(f"begun without what {self.file.name} keeps: {' '.join(str(problem).split())}")
+            log_external(f"begun without what {self.file.name} keeps: {' '.join(str(problem).split())}")
             return {}
 
 
-async def hello(meeting: Meeting) -> tuple[Line | None, dict, list[socket.socket], bool]:
+async def connect_to_predecessor(
+    meeting: RendezvousSocket,
+) -> tuple[ControlChannel | None, dict, list[socket.socket], bool]:
     """Asks the process before for the node: the line to it, its state and descriptors; whether it hangs."""
     loop = asyncio.get_running_loop()
     end = loop.time() + BUSY_TIME
@@ -309,7 +311,7 @@
         try:
             async with asyncio.timeout(ANSWER_TIME):
                 about, files = await line.next()
-        except (TimeoutError, Broken) as problem:
+        except (TimeoutError, ChannelClosed) as problem:
             line.close()
             if isinstance(problem, TimeoutError):
                 return None, {}, [], True
@@ -318,7 +320,7 @@
             return line, about["state"], files, False
         line.close()
         if loop.time() > end or not about.get("busy"):
-            say(f"the process before does not hand over: {about.get('why', 'it is busy')}")
+            log_external(f"the process before does not hand over: {about.get('why', 'it is busy')}")
             return None, {}, [], True
         await asyncio.sleep(AGAIN)
     return None, {}, [], False
@@ -329,4 +331,4 @@
     try:
         always_return(listener, SO_ATTACH_REUSEPORT_CBPF, 1)
     except OSError as problem:
-        trouble("steering new connections", problem)
+        log_exception("steering new connections", problem)
--- a/firwalk/net/discovery.py
+++ b/firwalk/net/discovery.py
@@ -8,12 +8,12 @@
 
 import orjson
 
-from firwalk.dispatcher.dispatcher import Desk
+from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.net import http, listing
 from firwalk.net.address import host_header, new_socket
 from firwalk.net.buffers import Buffers
 from firwalk.net.waiting import connected
-from firwalk.observability.log import say, trouble
+from firwalk.observability.log import log_exception, log_external
 
 # What discovery has to tell counts as known six seconds later, whatever failed before. A watch that falls
 # silent, the pause before the next call, its connect and its answer must fit in that time together, and so
@@ -26,8 +26,8 @@
 
 
 class Discovery:
-    def __init__(self, desk: Desk, buffers: Buffers, address: tuple[str, int]):
-        self.desk, self.buffers, self.address = desk, buffers, address
+    def __init__(self, dispatcher: Dispatcher, buffers: Buffers, address: tuple[str, int]):
+        self.dispatcher, self.buffers, self.address = dispatcher, buffers, address
         self.watching: asyncio.Task | None = None
         self.asking: asyncio.Task | None = None
         self.left: asyncio.Task | None = None  # the watch of the service before, until the new one tells
@@ -59,29 +59,29 @@
     def told(self, address: tuple[str, int], news: listing.Update) -> None:
         if address == self.address and not self.heard:
             self.heard = True
-            self.desk.forget_version()
+            self.dispatcher.reset_list_version()
             if self.left is not None:
                 self.left.cancel()
-        self.desk.report_list(*news)
+        self.dispatcher.report_list(*news)
 
     async def _call(self, watch: bool) -> None:
         """One call; its end, the watch's or one without a list, is told so that another may follow."""
         # Another service may count its versions otherwise: the first time it is asked for all.
-        since, address = self.desk.version if self.heard else 0, self.address
+        since, address = self.dispatcher.version if self.heard else 0, self.address
         target = b"/catalog/members" + (b"?follow=1&since=%d" % since if watch else b"")
         told, silent = _Told(lambda news: self.told(address, news), watch), False
         try:
             await self._read(address, target, told)
-            say(f"the list's service ended {'the watch' if watch else 'a call'} with {told.status}")
+            log_external(f"the list's service ended {'the watch' if watch else 'a call'} with {told.status}")
         except (OSError, TimeoutError) as problem:
-            say(f"the list's service: {str(problem) or 'silent'}")
+            log_external(f"the list's service: {str(problem) or 'silent'}")
             silent = isinstance(problem, TimeoutError)
         except http.Malformed as problem:
-            say(f"the list's service: {problem}")
+            log_external(f"the list's service: {problem}")
         except Exception as problem:
-            trouble("reading the list", problem)
+            log_exception("reading the list", problem)
         if address == self.address and (watch or not told.lists):
-            self.desk.report_list_broken(silent)
+            self.dispatcher.report_list_broken(silent)
 
     async def _read(self, address: tuple[str, int], target: bytes, told: _Told) -> None:
         loop = asyncio.get_running_loop()
--- a/firwalk/net/executors.py
+++ b/firwalk/net/executors.py
@@ -16,14 +16,14 @@
 
 import orjson
 
-from firwalk.dispatcher.dispatcher import Desk, Errand, Place
+from firwalk.dispatcher.dispatcher import Dispatcher, Endpoint, PendingRequest
 from firwalk.net import http
 from firwalk.net.address import host_header, new_socket
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.waiting import connected, received
 from firwalk.observability.events import CloseReason, Event, EventLog
-from firwalk.observability.log import must, say, trouble
+from firwalk.observability.log import check_invariant, log_exception, log_external
 from firwalk.policy.interface import Outcome
 
 WAIT = 0.01  # seconds between looks for a free descriptor
@@ -49,7 +49,7 @@
 class Link:
     """One connection to an executor, and the exchange that it carries, if any."""
 
-    def __init__(self, pool: Executors, place: Place, sock: socket.socket):
+    def __init__(self, pool: Executors, place: Endpoint, sock: socket.socket):
         self.pool, self.place, self.sock, self.address = pool, place, sock, place.address
         self.exchange: Exchange | Probe | None = None
         self.writer: asyncio.Task | None = None  # while bytes are still to be written
@@ -117,9 +117,9 @@
         except OSError:
             pass
         except http.Malformed as problem:
-            say(f"executor {self.place.name}: {problem}")
+            log_external(f"executor {self.place.name}: {problem}")
         except Exception as problem:
-            trouble("reading from an executor", problem)
+            log_exception("reading from an executor", problem)
         finally:
             view.release()
             self.pool.buffers.give(buffer)
@@ -169,8 +169,14 @@
 class Exchange:
     """What an executor answers to one assignment, as lines of a stream; reports its one outcome."""
 
-    def __init__(self, pool: Executors, errand: Errand, number: int, name: bytes):
-        self.pool, self.desk, self.errand, self.number, self.name = pool, pool.desk, errand, number, name
+    def __init__(self, pool: Executors, pending: PendingRequest, number: int, name: bytes):
+        self.pool, self.dispatcher, self.pending, self.number, self.name = (
+            pool,
+            pool.dispatcher,
+            pending,
+            number,
+            name,
+        )
         self.status, self.headers, self.over, self.over_at = 0, {}, False, 0.0
         self.link: Link | None = None
 
@@ -180,8 +186,8 @@
     def end(self, how: Outcome, load: dict | None = None, result: bytes = b"") -> None:
         if not self.over:
             self.over, self.over_at = True, monotonic()
-            self.pool.carried.pop((self.errand, self.number), None)
-            self.desk.report_outcome(self.errand, self.number, how, load, result)
+            self.pool.carried.pop((self.pending, self.number), None)
+            self.dispatcher.report_outcome(self.pending, self.number, how, load, result)
 
     def began(self, status: int, headers: dict) -> None:
         self.status, self.headers = status, headers
@@ -197,41 +203,41 @@
         if not own:
             raise http.Malformed(400, "a line that tells nothing of its task")
         if state == "started":
-            self.desk.report_start(self.errand, self.number)
+            self.dispatcher.report_started(self.pending, self.number)
         elif state == "running":
             share = news.get("share")
             if isinstance(share, int | float):
-                self.desk.report_progress(self.errand, self.number, float(share))
+                self.dispatcher.report_progress(self.pending, self.number, float(share))
         elif state == "done":
-            self.end(Outcome.FINISHED, news.get("load"), _result(news))
+            self.end(Outcome.COMPLETED, news.get("load"), _result(news))
         elif state == "failed":
             self.end(Outcome.ERROR, news.get("load"))
         elif state == "returned":
-            self.end(Outcome.FULL, news.get("load"))
+            self.end(Outcome.AT_CAPACITY, news.get("load"))
         elif state == "lost":
-            self.end(Outcome.BROKEN, news.get("load"))
+            self.end(Outcome.CONNECTION_LOST, news.get("load"))
 
     def whole(self) -> None:
         """The answer's end: without a last line it says nothing of whether the task has run."""
         load = _load(self.headers.get(b"x-load"))
         if self.status in (503, 504) and self.headers.get(b"x-not-run") == b"1":
-            self.end(Outcome.FULL, load)
+            self.end(Outcome.AT_CAPACITY, load)
         elif self.status == 200:
-            self.end(Outcome.BROKEN, load)
+            self.end(Outcome.CONNECTION_LOST, load)
         elif 400 <= self.status < 500 and self.status not in MAY_PASS:
-            self.end(Outcome.UNFIT, load)
+            self.end(Outcome.INVALID, load)
         else:
             self.end(Outcome.ERROR, load)
 
     def broke(self) -> None:
-        self.end(Outcome.BROKEN)
+        self.end(Outcome.CONNECTION_LOST)
 
 
 class Probe:
     """A question for the load report; reports what came once."""
 
-    def __init__(self, desk: Desk, place: Place, kept: bool):
-        self.desk, self.place, self.began_at, self.kept = desk, place, monotonic(), kept
+    def __init__(self, dispatcher: Dispatcher, place: Endpoint, kept: bool):
+        self.dispatcher, self.place, self.began_at, self.kept = dispatcher, place, monotonic(), kept
         self.status, self.text = 0, b""
         self.over = asyncio.get_running_loop().create_future()
 
@@ -241,7 +247,7 @@
     def end(self, how: Outcome, load: dict | None = None) -> None:
         if not self.over.done():
             self.over.set_result(None)
-            self.desk.report_probe(self.place, how, monotonic() - self.began_at, load)
+            self.dispatcher.report_probe(self.place, how, monotonic() - self.began_at, load)
 
     def began(self, status: int, headers: dict) -> None:
         self.status = status
@@ -250,13 +256,13 @@
         self.text += line
 
     def whole(self) -> None:
-        self.end(Outcome.FINISHED if self.status == 200 else Outcome.FULL, _load(self.text))
+        self.end(Outcome.COMPLETED if self.status == 200 else Outcome.AT_CAPACITY, _load(self.text))
 
     def broke(self) -> None:
         """A kept connection that ends unanswered shows its own age only: taken for signs of silence, two of
         these would set a good executor aside."""
         if not self.kept or self.status:
-            self.end(Outcome.BROKEN)
+            self.end(Outcome.CONNECTION_LOST)
         elif not self.over.done():
             self.over.set_result(None)
 
@@ -284,7 +290,7 @@
 
     def __init__(
         self,
-        desk: Desk,
+        dispatcher: Dispatcher,
         budget: Budget,
         buffers: Buffers,
         connect_time: float,
@@ -292,26 +298,30 @@
         events: EventLog | None = None,
     ):
         self.events = events or EventLog()
-        self.desk, self.budget, self.buffers = desk, budget, buffers
+        self.dispatcher, self.budget, self.buffers = dispatcher, budget, buffers
         self.connect_time, self.idle_time = connect_time, idle_time * IDLE_PART
         self.links: dict[Link, None] = {}
-        self.idle: dict[Place, list[Link]] = {}
-        self.probes: dict[Place, asyncio.Task] = {}
-        self.carried: dict[tuple[Errand, int], tuple] = {}
-        self.trips: dict[Place, float] = {}  # the shortest times to it and back
-        self.short_at: dict[Place, float] = {}  # when a kept connection ended early last
+        self.idle: dict[Endpoint, list[Link]] = {}
+        self.probes: dict[Endpoint, asyncio.Task] = {}
+        self.carried: dict[tuple[PendingRequest, int], tuple] = {}
+        self.trips: dict[Endpoint, float] = {}  # the shortest times to it and back
+        self.short_at: dict[Endpoint, float] = {}  # when a kept connection ended early last
         self.dead: deque[tuple[float, float]] = deque(maxlen=DEAD_MOST)  # when, and how long idle
         budget.shed_link = self.shed
 
     # -- the pool ----------------------------------------------------------------------------------------
 
     def give(self, link: Link) -> None:
-        if not link.open or link.address != link.place.address or not self.desk.kept(link.place):
+        if (
+            not link.open
+            or link.address != link.place.address
+            or not self.dispatcher.keeps_connections_to(link.place)
+        ):
             link.close(CloseReason.EXECUTOR_GONE)  # moved: at its old address may be another one
             return
         link.idle_since = monotonic()
         self.idle.setdefault(link.place, []).append(link)
-        self.desk.report_idle(link.place, len(self.idle[link.place]))
+        self.dispatcher.report_idle(link.place, len(self.idle[link.place]))
 
     def closed(self, link: Link, by_itself: bool) -> None:
         self.budget.close_link()
@@ -319,7 +329,7 @@
         idle = self.idle.get(link.place, [])
         if link in idle:
             idle.remove(link)
-            self.desk.report_idle(link.place, len(idle))
+            self.dispatcher.report_idle(link.place, len(idle))
             if by_itself and monotonic() - link.idle_since < SHORT_LIFE:
                 self.short_at[link.place] = monotonic()
 
@@ -331,10 +341,10 @@
                 about = {"link": place.name, "idle_since": link.idle_since, "trip": self.trips.get(place)}
                 link.heir = lambda sock, about=about: heir(about, sock)
                 link.close(CloseReason.HANDED_OVER)
-            self.desk.report_idle(place, 0)
+            self.dispatcher.report_idle(place, 0)
         self.idle.clear()
 
-    def adopt(self, place: Place, sock: socket.socket, idle_since: float, trip: float | None) -> None:
+    def adopt(self, place: Endpoint, sock: socket.socket, idle_since: float, trip: float | None) -> None:
         """A connection that another process of this node had: counted there until now, it fits."""
         sock.setblocking(False)
         self.budget.adopt_link()
@@ -346,13 +356,13 @@
         self.give(link)
         link.idle_since = min(idle_since, link.idle_since)
 
-    def came(self, place: Place, took: float) -> None:
+    def came(self, place: Endpoint, took: float) -> None:
         self.trips[place] = min(took, self.trips.get(place, HOLD_MOST))
 
-    def close_idle(self, place: Place) -> None:
+    def close_idle(self, place: Endpoint) -> None:
         for link in self.idle.pop(place, []):
             link.close(CloseReason.EXECUTOR_GONE)
-        self.desk.report_idle(place, 0)
+        self.dispatcher.report_idle(place, 0)
 
     def shed(self) -> bool:
         """Closes the connection that has been idle longest."""
@@ -386,7 +396,7 @@
         ages = [idled for when, idled in self.dead if when > monotonic() - DEAD_MEMORY]
         return min(ages) if len(ages) > 1 else self.idle_time
 
-    def _taken(self, place: Place, once: bool = False) -> Link | None:
+    def _taken(self, place: Endpoint, once: bool = False) -> Link | None:
         """The kept connection used last, if there is one. What can be sent `once` only is not risked on one
         that may be dead; the others stay for what can be repeated."""
         links, now = self.idle.get(place, []), monotonic()
@@ -396,13 +406,13 @@
             link = links.pop()
             link.idled = now - link.idle_since
             if link.open and link.fresh() and link.idled < self.idle_time:
-                self.desk.report_idle(place, len(links))
+                self.dispatcher.report_idle(place, len(links))
                 return link
             link.close(CloseReason.UNRELIABLE)
-        self.desk.report_idle(place, 0)
+        self.dispatcher.report_idle(place, 0)
         return None
 
-    async def _opened(self, place: Place) -> Link:
+    async def _opened(self, place: Endpoint) -> Link:
         sock, began = None, monotonic()
         try:
             sock = new_socket(place.address)
@@ -421,14 +431,20 @@
     # -- assignments ---------------------------------------------------------------------------------------
 
     def carry(
-        self, errand: Errand, number: int, place: Place, name: bytes, message: Callable, once: bool = False
+        self,
+        pending: PendingRequest,
+        number: int,
+        place: Endpoint,
+        name: bytes,
+        message: Callable,
+        once: bool = False,
     ) -> None:
         """Starts an assignment; `message()` gives its bytes when they are to be written."""
-        exchange = Exchange(self, errand, number, name)
+        exchange = Exchange(self, pending, number, name)
         work = asyncio.get_running_loop().create_task(self._carry(exchange, place, message, once))
-        self.carried[errand, number] = exchange, work
+        self.carried[pending, number] = exchange, work
 
-    async def _carry(self, exchange: Exchange, place: Place, message: Callable, once: bool) -> None:
+    async def _carry(self, exchange: Exchange, place: Endpoint, message: Callable, once: bool) -> None:
         link, new = self._taken(place, once), 0
         while not exchange.over:
             try:
@@ -438,23 +454,23 @@
                 await self._write(exchange, link, message)
                 return
             except NoDescriptor:
-                say("no descriptor is left for an executor: an assignment is not sent")
+                log_external("no descriptor is left for an executor: an assignment is not sent")
                 exchange.end(Outcome.NOT_SENT)
             except OSError as problem:  # a time-out is one too
                 # The next kept connection may be as dead as this one: a new one proves more, and a second one
                 # that it was not by chance.
                 if new >= NEW_LINKS or isinstance(problem, TimeoutError):
-                    exchange.end(Outcome.NO_CONNECTION)
+                    exchange.end(Outcome.CONNECT_FAILED)
                 if link is not None:
                     link.close(CloseReason.PEER_LEFT)
                 link = None
 
     async def _write(self, exchange: Exchange, link: Link, message: Callable) -> None:
-        if not self.desk.report_sending(exchange.errand, exchange.number):
+        if not self.dispatcher.report_sending(exchange.pending, exchange.number):
             self.give(link)
             exchange.end(Outcome.NOT_SENT)
             return
-        must(link.exchange is None, "a connection carries one thing at a time")
+        check_invariant(link.exchange is None, "a connection carries one thing at a time")
         link.exchange, exchange.link = exchange, link
         hold = max(HOLD_TRIPS * self.trips.get(link.place, HOLD_MOST), HOLD_LEAST)
         began = monotonic()
@@ -462,13 +478,13 @@
         def last() -> bool:
             """Not if the rest was long in writing: the message tells what was left before that."""
             held = monotonic() - began
-            return held < MOST_HELD and self.desk.report_last_byte(exchange.errand, exchange.number)
+            return held < MOST_HELD and self.dispatcher.report_committing(exchange.pending, exchange.number)
 
         if not await link.write(message(), min(hold, HOLD_MOST), last):
             exchange.end(Outcome.NOT_SENT)
             link.close(CloseReason.NOT_SENT)
 
-    async def _free(self, place: Place) -> Link | None:
+    async def _free(self, place: Endpoint) -> Link | None:
         """Waits for a descriptor, or a connection that becomes free meanwhile. Ended at once for lack of one,
         a task would spend all its assignments in a moment."""
         end = monotonic() + self.connect_time
@@ -481,9 +497,9 @@
                 return link
         return None
 
-    def call_off(self, errand: Errand, number: int) -> None:
+    def call_off(self, pending: PendingRequest, number: int) -> None:
         """Its outcome is known to the decisions already; the executor learns by the connection's end."""
-        exchange, work = self.carried.pop((errand, number), (None, None))
+        exchange, work = self.carried.pop((pending, number), (None, None))
         if exchange is not None:
             exchange.over = True
             work.cancel()
@@ -492,28 +508,30 @@
 
     # -- assignments that go over to another process of this node ----------------------------------------
 
-    def carrying(self, errand: Errand, number: int) -> Link | None:
+    def carrying(self, pending: PendingRequest, number: int) -> Link | None:
         """The connection of an assignment that can go over: all of it is written."""
-        exchange, _ = self.carried.get((errand, number), (None, None))
+        exchange, _ = self.carried.get((pending, number), (None, None))
         link = exchange.link if exchange is not None else None
         if link is None or link.exchange is not exchange or not link.open:
             return None
         return link if link.writer is None and len(link.seen) <= MOST_SEEN else None
 
-    def let_go(self, errand: Errand, number: int) -> None:
+    def let_go(self, pending: PendingRequest, number: int) -> None:
         """Another process has it, with a descriptor of its own: ours is closed, and nothing is reported."""
-        exchange, _ = self.carried.pop((errand, number))
+        exchange, _ = self.carried.pop((pending, number))
         exchange.over, exchange.link.exchange = True, None
         exchange.link.close(CloseReason.HANDED_OVER)
 
-    def resume(self, errand: Errand, number: int, sock: socket.socket, name: bytes, seen: bytes) -> None:
+    def resume(
+        self, pending: PendingRequest, number: int, sock: socket.socket, name: bytes, seen: bytes
+    ) -> None:
         """An assignment that another process sent goes on here, behind what has come of its answer."""
-        place, exchange = errand.task.assignments[number].executor.ref, Exchange(self, errand, number, name)
+        place, exchange = pending.request.attempts[number].executor.ref, Exchange(self, pending, number, name)
         sock.setblocking(False)
         self.budget.adopt_link()
         link = Link(self, place, sock)
         link.exchange, exchange.link, self.links[link] = exchange, link, None
-        self.carried[errand, number] = exchange, asyncio.get_running_loop().create_future()
+        self.carried[pending, number] = exchange, asyncio.get_running_loop().create_future()
         try:
             link.address = sock.getpeername()[:2]
         except OSError:
@@ -523,16 +541,16 @@
 
     # -- probes ------------------------------------------------------------------------------------------
 
-    def probe(self, place: Place, limit: float) -> None:
+    def probe(self, place: Endpoint, limit: float) -> None:
         """One at a time to each executor: it may wait there like a task."""
         if place not in self.probes:
             work = asyncio.get_running_loop().create_task(self._probe(place, limit))
             self.probes[place] = work
             work.add_done_callback(lambda _: self.probes.pop(place, None))
 
-    async def _probe(self, place: Place, limit: float) -> None:
+    async def _probe(self, place: Endpoint, limit: float) -> None:
         link = self._taken(place)
-        probe = Probe(self.desk, place, link is not None)
+        probe = Probe(self.dispatcher, place, link is not None)
         if link is None:
             short = self.short_at.get(place, 0.0) > monotonic() - SHORT_MEMORY
             if short or not self.budget.open_link(probe=True):
@@ -540,7 +558,7 @@
             try:
                 link = await self._opened(place)
             except (OSError, TimeoutError):
-                probe.end(Outcome.NO_CONNECTION)
+                probe.end(Outcome.CONNECT_FAILED)
                 return
         link.exchange = probe
         try:
--- a/firwalk/net/fields.py
+++ b/firwalk/net/fields.py
@@ -51,7 +51,7 @@
         _matched(NAME, headers[b"idempotency-key"], "the fingerprint")
     further = _figures(headers.get(b"x-extras", b""))
     return name, {
-        "offering": _matched(TARGET, target, "the target")[1].decode(),
+        "request_class": _matched(TARGET, target, "the target")[1].decode(),
         "tenant": headers.get(b"x-tenant", b"").decode("latin-1"),
         "budget": seconds(headers.get(b"x-deadline")),
         "cost": float(_matched(FIGURE, headers.get(b"x-cost-hint", b"0"), "the hint of cost")[0]) * 1e-6,
--- a/firwalk/net/graceful_shutdown.py
+++ b/firwalk/net/graceful_shutdown.py
@@ -14,16 +14,16 @@
 
 from firwalk.net.errors import concerns_connection
 from firwalk.net.filters import SO_ATTACH_FILTER, always_return
-from firwalk.observability.events import Event, State
-from firwalk.observability.log import report
+from firwalk.observability.events import Event, ProcessState
+from firwalk.observability.log import log_internal
 from firwalk.stop_plan import NEW_CONNECTIONS_S, Deadlines, StopPlan
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from firwalk.dispatcher.dispatcher import Desk
+    from firwalk.dispatcher.dispatcher import Dispatcher
     from firwalk.net.clients import Clients
-    from firwalk.net.hot_restart import Succession
+    from firwalk.net.hot_restart import HotRestart
 
 LOOK_S = 0.01  # between looks whether anything is still owed
 QUIET_S = 0.1  # without a new connection after which none is expected any more
@@ -33,14 +33,14 @@
     """What of a process its stop has to do with."""
 
     clock: Callable[[], float]
-    desk: Desk
+    dispatcher: Dispatcher
     clients: Clients
-    succession: Succession
+    succession: HotRestart
     listener: socket.socket
     accepting: asyncio.Task | None
 
 
-class Stop:
+class GracefulShutdown:
     """What one process does from the signal to its end."""
 
     def __init__(self, service: Stoppable, deadlines: Deadlines):
@@ -48,7 +48,7 @@
         self.told_at: float | None = None
         self.told = asyncio.Event()
         self.plan = StopPlan.of(deadlines.current)
-        self.state = State.SERVING
+        self.state = ProcessState.SERVING
 
     # -- being told -----------------------------------------------------------------------------------------
 
@@ -77,23 +77,25 @@
     def _bound_requests(self) -> None:
         """Nothing lasts beyond the time by which all is answered."""
         service = self.service
-        service.desk.close_by(service.clock() + self.told_at + self.plan.answered_by - monotonic())
+        service.dispatcher.set_shutdown_deadline(
+            service.clock() + self.told_at + self.plan.answered_by - monotonic()
+        )
 
     # -- the way to the end ---------------------------------------------------------------------------------
 
     async def run(self) -> None:
         """Serves on, then ends what there is; returns when nothing is owed or no time is left."""
-        self._enter(State.STOPPING)
+        self._enter(ProcessState.STOPPING)
         self._bound_requests()
         while monotonic() < self.told_at + self.plan.gone_by and not self._finished():
             await asyncio.sleep(LOOK_S)
         if not self.service.succession.handed:
             self.accept_last()
 
-    def _enter(self, state: State) -> None:
+    def _enter(self, state: ProcessState) -> None:
         if state is not self.state:
             self.state = state
-            self.service.desk.events.record(Event.STATE, state)
+            self.service.dispatcher.events.record(Event.STATE, state)
 
     def _finished(self) -> bool:
         """Whether nothing is owed to anybody any more. Another node may be stopping too: a client whose
@@ -105,7 +107,7 @@
         closing = now >= self.told_at + self.plan.closing_from or quiet and not clients.open
         clients.stopping |= closing and not service.succession.handed or final
         if clients.stopping:
-            self._enter(State.FINAL if final else State.DRAINING)
+            self._enter(ProcessState.FINAL if final else ProcessState.DRAINING)
             if final or quiet and not clients.open or now >= self.told_at + self.plan.resting_until:
                 clients.wind_down(final)
         if final and not service.succession.handed:
@@ -136,7 +138,7 @@
             except OSError as problem:
                 if concerns_connection(problem):
                     continue
-                report(f"no connection accepted at the end: {problem}")
+                log_internal(f"no connection accepted at the end: {problem}")
                 return False
             clients.admit(sock, spare=True)
 
--- a/firwalk/net/hot_restart.py
+++ b/firwalk/net/hot_restart.py
@@ -9,14 +9,20 @@
 from time import monotonic
 from typing import TYPE_CHECKING, Protocol
 
-from firwalk.dispatcher.request_handover import packed, unpacked
-from firwalk.net.control_channel import VERSION, Broken, Line, Meeting, hello
+from firwalk.dispatcher.request_handover import decode_request, encode_request
+from firwalk.net.control_channel import (
+    VERSION,
+    ChannelClosed,
+    ControlChannel,
+    RendezvousSocket,
+    connect_to_predecessor,
+)
 from firwalk.observability.events import CloseReason
-from firwalk.observability.log import say, trouble
-from firwalk.policy.interface import Condition
+from firwalk.observability.log import log_exception, log_external
+from firwalk.policy.interface import EndpointState
 
 if TYPE_CHECKING:
-    from firwalk.dispatcher.dispatcher import Desk
+    from firwalk.dispatcher.dispatcher import Dispatcher
     from firwalk.net.budget import Budget
     from firwalk.net.clients import Client, Clients
     from firwalk.net.executors import Executors
@@ -27,11 +33,11 @@
 MARGIN = 4  # descriptors that the old process may still open beside what its clients' tasks need
 
 
-class Served(Protocol):
+class RestartableService(Protocol):
     """What one process of a node gives the other one a part of."""
 
     config: dict
-    desk: Desk
+    dispatcher: Dispatcher
     clients: Clients
     executors: Executors
     budget: Budget
@@ -56,15 +62,15 @@
         """Whether this process is on its way to its end."""
 
 
-class Succession:
-    def __init__(self, service: Served):
-        self.service, self.desk = service, service.desk
+class HotRestart:
+    def __init__(self, service: RestartableService):
+        self.service, self.dispatcher = service, service.dispatcher
         config, folder = service.config, os.environ.get("TMPDIR")
         self.meeting = None
         if service.managed and folder and os.path.isdir(folder):
-            self.meeting = Meeting(folder, str(config.get("name", "")), config["listen"], self._come)
-        self.before: Line | None = None  # to the process that this one replaces
-        self.after: Line | None = None  # to the one that replaces this one
+            self.meeting = RendezvousSocket(folder, str(config.get("name", "")), config["listen"], self._come)
+        self.before: ControlChannel | None = None  # to the process that this one replaces
+        self.after: ControlChannel | None = None  # to the one that replaces this one
         self.handed = False  # the one after accepts now
         self.gives_tasks = False  # and goes on with tasks in work
         self.given = 0  # of these so far
@@ -86,14 +92,14 @@
         """Asks the process before for the node: the listener and the peers' socket, or nothing."""
         if self.meeting is None:
             return []
-        line, state, files, self.hung = await hello(self.meeting)
+        line, state, files, self.hung = await connect_to_predecessor(self.meeting)
         kept = state.get("out") if line is not None else self.meeting.kept()
         try:
-            self.desk.report_kept_out(kept)
+            self.dispatcher.restore_maintenance(kept)
         except (TypeError, ValueError, AttributeError) as problem:
-            say(f"begun without who was taken out: {problem!r}")
-        if self.desk.maintenance.out:
-            say(f"taken out by operators: {', '.join(self.desk.maintenance.out)}")
+            log_external(f"begun without who was taken out: {problem!r}")
+        if self.dispatcher.maintenance.detached:
+            log_external(f"taken out by operators: {', '.join(self.dispatcher.maintenance.detached)}")
         if line is None:
             return []
         self._learn(state)
@@ -108,15 +114,15 @@
             version, entries = (
                 int(state["version"]),
                 [
-                    (str(e[0]), (str(e[1][0]), int(e[1][1])), *e[2:5], Condition(e[5]), *e[6:])
+                    (str(e[0]), (str(e[1][0]), int(e[1][1])), *e[2:5], EndpointState(e[5]), *e[6:])
                     for e in state["entries"]
                 ],
             )
-            self.desk.report_kept_list(version, entries)
+            self.dispatcher.restore_endpoint_list(version, entries)
             if state["discovery"] != self.service.config["discovery"]:
-                self.desk.forget_version()
+                self.dispatcher.reset_list_version()
         except (KeyError, TypeError, ValueError, IndexError) as problem:
-            say(f"begun without the list of the process before: {problem!r}")
+            log_external(f"begun without the list of the process before: {problem!r}")
 
     async def take(self) -> None:
         """Tells the one before to stop accepting; what it has accepted already it finishes or hands over."""
@@ -124,7 +130,7 @@
             self.before.say({"take": True})
             await self.yours
 
-    async def _follow(self, line: Line) -> None:
+    async def _follow(self, line: ControlChannel) -> None:
         try:
             while True:
                 about, files = await line.next()
@@ -140,10 +146,10 @@
                     self._shares(int(about["holds"]))
                 else:
                     self._called(line, about)
-        except Broken:
-            say("the process before has ended; this one has the whole of the limits")
+        except ChannelClosed:
+            log_external("the process before has ended; this one has the whole of the limits")
         except Exception as problem:
-            trouble("following the process before", problem)
+            log_exception("following the process before", problem)
         finally:
             self.before = None
             line.close()
@@ -151,7 +157,7 @@
             self._shares()
 
     def _adopt(self, about: dict, sock: socket.socket) -> None:
-        executor = self.desk.places.get(about["link"])
+        executor = self.dispatcher.executors.get(about["link"])
         try:
             if executor is None:
                 raise OSError("nobody knows its executor")
@@ -164,14 +170,16 @@
         try:
             name, target, body, seen, *rest = (text.encode("latin-1") for text in about["bytes"])
             headers = dict(zip(rest[::2], rest[1::2], strict=True))
-            errand = unpacked(self.desk, about["task"], monotonic() - about["at"], name.decode("latin-1"))
+            pending = decode_request(
+                self.dispatcher, about["task"], monotonic() - about["at"], name.decode("latin-1")
+            )
         except (KeyError, TypeError, ValueError, AttributeError) as problem:
-            trouble("going on with a task", problem)
+            log_exception("going on with a task", problem)
             client.close()
             link.close()
             return
-        self.service.clients.resume(client, errand, (name, target, headers, body, bool(about["keep"])))
-        self.service.executors.resume(errand, about["task"]["out"], link, name, seen)
+        self.service.clients.resume(client, pending, (name, target, headers, body, bool(about["keep"])))
+        self.service.executors.resume(pending, about["task"]["out"], link, name, seen)
 
     def _free(self) -> None:
         if not self.yours.done():
@@ -179,10 +187,10 @@
 
     # -- the old process -----------------------------------------------------------------------------------
 
-    def _come(self, line: Line) -> None:
+    def _come(self, line: ControlChannel) -> None:
         self._keep(self._attend(line))
 
-    async def _attend(self, line: Line) -> None:
+    async def _attend(self, line: ControlChannel) -> None:
         """Another process of this node has come, to replace this one."""
         try:
             about, _ = await line.next()
@@ -192,7 +200,7 @@
                 line.say({"busy": True})
             else:
                 self.after, self.gives_tasks = line, "task" in about.get("takes", ())
-                say("another process of this node has come")
+                log_external("another process of this node has come")
                 line.say({"state": self._state()}, *self.service.shared())
                 self._shares()
                 while True:
@@ -201,25 +209,25 @@
                         self._hand(line)
                     else:
                         self._called(line, about)
-        except Broken:
+        except ChannelClosed:
             pass
         except Exception as problem:
-            trouble("handing the node over", problem)
+            log_exception("handing the node over", problem)
         finally:
             line.close()
             if self.after is line and not self.closed:
                 self._alone()
 
     def _state(self) -> dict:
-        desk = self.desk
+        dispatcher = self.dispatcher
         return {
-            "version": desk.version,
+            "version": dispatcher.version,
             "discovery": self.service.config["discovery"],
-            "entries": list(desk.entries.values()),
-            "out": desk.maintenance.state(),
+            "entries": list(dispatcher.endpoints.values()),
+            "out": dispatcher.maintenance.state(),
         }
 
-    def _hand(self, line: Line) -> None:
+    def _hand(self, line: ControlChannel) -> None:
         self.meeting.close()  # the path belongs to the new process from here on
         self.handed = True
         self.service.clients.moving = lambda known, sock: line.say({"client": known}, sock, give=True)
@@ -227,20 +235,20 @@
         line.say({"yours": True})
         for sock in held:
             line.say({"client": False}, sock, give=True)
-        say("another process of this node serves from now on; this one finishes what it has taken")
+        log_external("another process of this node serves from now on; this one finishes what it has taken")
         self._keep(self._hand_over(line))
 
-    async def _hand_over(self, line: Line) -> None:
+    async def _hand_over(self, line: ControlChannel) -> None:
         """Connections go over, clients' and executors', with what is unread and with tasks in work."""
         self.holds = -1
         while line.open:
             try:
                 self._hand_over_now(line)
             except OSError as problem:  # short of descriptors, also for copies: those that go make room
-                say(f"not all goes over yet: {problem}")
+                log_external(f"not all goes over yet: {problem}")
             await asyncio.sleep(HAND_OVER_EVERY)
 
-    def _hand_over_now(self, line: Line) -> None:
+    def _hand_over_now(self, line: ControlChannel) -> None:
         for client in list(self.service.clients.open) if self.gives_tasks else ():
             if self.service.clients.movable(client):
                 self._give_task(line, client)  # first: their time runs on
@@ -253,11 +261,11 @@
             self.service.budget.keep_to(more)
             line.say({"holds": self.holds})
 
-    def _give_task(self, line: Line, client: Client) -> None:
+    def _give_task(self, line: ControlChannel, client: Client) -> None:
         """Sent with copies of both descriptors, so that closing ours ends neither connection."""
-        errand, executors = client.errand, self.service.executors
-        about = packed(self.desk, errand)
-        link = executors.carrying(errand, about["out"]) if about and line.open else None
+        pending, executors = client.pending, self.service.executors
+        about = encode_request(self.dispatcher, pending)
+        link = executors.carrying(pending, about["out"]) if about and line.open else None
         if link is None:
             return
         name, target, headers, body, keep = client.message
@@ -273,9 +281,9 @@
             link.sock,
         )
         self.given += 1
-        executors.let_go(errand, about["out"])
-        client.errand, client.busy = None, False
-        self.desk.report_moved(errand)
+        executors.let_go(pending, about["out"])
+        client.pending, client.busy = None, False
+        self.dispatcher.report_handed_over(pending)
         client.close(CloseReason.HANDED_OVER)
 
     def shares_listener(self) -> bool:
@@ -299,7 +307,7 @@
         self.service.clients.ending = self.service.told_to_stop()
         self._shares()
         if self.handed:
-            say("the process that was to replace this one has ended; this one serves again")
+            log_external("the process that was to replace this one has ended; this one serves again")
             self.handed = False
             self.service.accept_again()
             self.meeting.listen()
@@ -324,12 +332,12 @@
         else:
             self.service.limit(files, 1.0)
 
-    def _called(self, line: Line, about: dict) -> None:
+    def _called(self, line: ControlChannel, about: dict) -> None:
         """What operators told the other process."""
         if "reload" in about:
             self.service.reread()
         elif "out" in about:
-            report = self.desk.report_out if about["on"] else self.desk.report_back
+            report = self.dispatcher.detach_executor if about["on"] else self.dispatcher.attach_executor
             known = report(about["out"], bool(about["sure"]))
             line.say({"done": about["number"], "known": known})
         elif about.get("done") in line.asked:
@@ -344,23 +352,27 @@
         """An operator's call, kept for a process to come and told to the other one, if there is one. Whether
         either knows the executor: a list may have reached one of them only."""
         if self.meeting is not None:
-            self.meeting.keep(self.desk.maintenance.state())
+            self.meeting.keep(self.dispatcher.maintenance.state())
         line = self.before or self.after
         theirs = line is not None and await line.ask({"out": name, "on": on, "sure": known})
         if theirs and not known:
-            (self.desk.report_out if on else self.desk.report_back)(name, True)
+            (self.dispatcher.detach_executor if on else self.dispatcher.attach_executor)(name, True)
         return known or theirs
 
     async def fresh(self, seconds: float, ending: asyncio.Event) -> None:
         """Waits for a list that came since the start, for so long at most."""
         end = monotonic() + seconds
-        while monotonic() < end and self.desk.list_at <= self.service.opened_at and not ending.is_set():
+        while (
+            monotonic() < end
+            and self.dispatcher.list_received_at <= self.service.opened_at
+            and not ending.is_set()
+        ):
             await asyncio.sleep(0.01)
 
     def close(self) -> None:
         self.closed = True
         if self.handed:
-            say(f"tasks in work that the process after goes on with: {self.given}")
+            log_external(f"tasks in work that the process after goes on with: {self.given}")
         if self.meeting is not None:
             self.meeting.close(unlink=not self.handed)
         for work in list(self.works):
--- a/firwalk/net/listing.py
+++ b/firwalk/net/listing.py
@@ -13,10 +13,10 @@
 
 from firwalk.net import http
 from firwalk.net.address import parse
-from firwalk.observability.log import say
-from firwalk.policy.interface import Condition
+from firwalk.observability.log import log_external
+from firwalk.policy.interface import EndpointState
 
-LIFECYCLES = {"active": Condition.READY, "leaving": Condition.DRAINING, "left": Condition.GONE}
+LIFECYCLES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
 ADDRESSES_KEPT = 8192  # of all that were read
 MOST_CELL = 1 << 31
 MOST_STARTED_MS = 1e14  # the year 5138
@@ -55,7 +55,9 @@
         except ValueError as problem:
             faults.append(problem)
     if faults:
-        say(f"{len(faults)} of {len(instances)} entries of the list are left out; the first: {faults[0]}")
+        log_external(
+            f"{len(faults)} of {len(instances)} entries of the list are left out; the first: {faults[0]}"
+        )
     return found
 
 
@@ -93,9 +95,9 @@
     return value if isinstance(value, int) and 0 <= value < MOST_CELL else 0
 
 
-def _condition(value: object) -> Condition:
+def _condition(value: object) -> EndpointState:
     """Other words than the known ones: nothing new goes there."""
-    return LIFECYCLES.get(value, Condition.DRAINING) if isinstance(value, str) else Condition.DRAINING
+    return LIFECYCLES.get(value, EndpointState.DRAINING) if isinstance(value, str) else EndpointState.DRAINING
 
 
 def _started(value: object) -> float:
--- a/firwalk/net/management.py
+++ b/firwalk/net/management.py
@@ -13,7 +13,7 @@
 
 from firwalk.net.address import new_socket
 from firwalk.net.errors import Pause, concerns_connection
-from firwalk.observability.log import say, trouble
+from firwalk.observability.log import log_exception, log_external
 
 SILENT_TIME = 5.0  # seconds in which a call must be whole
 LONGEST = 256  # bytes of a call
@@ -61,7 +61,7 @@
             try:
                 sock, _ = await loop.sock_accept(self.listener)
             except OSError as problem:
-                say(f"no operator's call accepted: {problem}")
+                log_external(f"no operator's call accepted: {problem}")
                 await asyncio.sleep(0.0 if concerns_connection(problem) else pause.next())
                 continue
             pause.over()
@@ -95,7 +95,7 @@
         except OSError:
             pass  # it left, or what it sent is read up
         except Exception as problem:
-            trouble("attending to an operator's call", problem)
+            log_exception("attending to an operator's call", problem)
 
     async def _call(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> tuple[bytes | None, str]:
         """The line, or what is wrong with what came instead; neither: it left without a word."""
--- a/firwalk/net/peers.py
+++ b/firwalk/net/peers.py
@@ -5,17 +5,17 @@
 import asyncio
 import socket
 
-from firwalk.dispatcher.dispatcher import Desk
+from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.dispatcher.failure_gossip import SIZE
 from firwalk.net.address import new_socket
-from firwalk.observability.log import say
+from firwalk.observability.log import log_external
 
 LONGEST = 256  # bytes of a datagram
 
 
 class Peers(asyncio.DatagramProtocol):
-    def __init__(self, desk: Desk, peers: list[tuple[str, int]], to_all: tuple[str, int] | None):
-        self.desk, self.to_all = desk, to_all
+    def __init__(self, dispatcher: Dispatcher, peers: list[tuple[str, int]], to_all: tuple[str, int] | None):
+        self.dispatcher, self.to_all = dispatcher, to_all
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.dropped, self.transport = 0, None
         self.sock: socket.socket | None = None
@@ -38,13 +38,13 @@
         if self.cluster is not None and len(data) != SIZE:
             self.cluster.datagram_came(data, number)
         else:
-            self.desk.report_peer(number, data)
+            self.dispatcher.report_peer(number, data)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     def error_received(self, problem: OSError) -> None:
-        say(f"a message to a node: {problem}")
+        log_external(f"a message to a node: {problem}")
 
     def close(self) -> None:
         if self.transport is not None:
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -9,8 +9,8 @@
 from math import inf
 from time import monotonic, time
 
-from firwalk.config.node_config import check_news, longest_deadline, needs_restart
-from firwalk.dispatcher.dispatcher import Chore, Desk
+from firwalk.config.node_config import longest_deadline, needs_restart, validate_reload
+from firwalk.dispatcher.dispatcher import BackgroundAction, Dispatcher
 from firwalk.net import discovery, listing
 from firwalk.net.address import new_socket, parse
 from firwalk.net.budget import Budget
@@ -18,14 +18,14 @@
 from firwalk.net.clients import Clients
 from firwalk.net.control_channel import steer
 from firwalk.net.executors import Executors
-from firwalk.net.graceful_shutdown import Stop
-from firwalk.net.hot_restart import Succession
+from firwalk.net.graceful_shutdown import GracefulShutdown
+from firwalk.net.hot_restart import HotRestart
 from firwalk.net.management import Management, places
 from firwalk.net.opening import ADDRESS_TAKEN, SHORT_OF_RESOURCES, ToldToStop, patiently
 from firwalk.net.peers import Peers
 from firwalk.net.turns import Turns
-from firwalk.observability.events import Event, State
-from firwalk.observability.log import report, say, trouble
+from firwalk.observability.events import Event, ProcessState
+from firwalk.observability.log import log_exception, log_external, log_internal
 from firwalk.stop_plan import Deadlines
 
 BACKLOG = 1024
@@ -50,11 +50,13 @@
         self.loop = asyncio.get_running_loop()
         self.turns = Turns(self.loop, self._turn)
         self.loop.set_exception_handler(
-            lambda _, about: trouble(
+            lambda _, about: log_exception(
                 about.get("message", "running"), about.get("exception") or RuntimeError("unknown")
             )
         )
-        self.desk = Desk(settings, int(str(config.get("seed", "0")), 16), self.clock, self.turns.soon)
+        self.dispatcher = Dispatcher(
+            settings, int(str(config.get("seed", "0")), 16), self.clock, self.turns.soon
+        )
         files = min(int(limits.get("sockets", 1024)), resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.managed = bool(config.get("management"))
         callers = places(files) if self.managed else 0
@@ -64,30 +66,34 @@
         self.buffers = Buffers()
         allowed = settings.get("limits", {})
         self.executors = Executors(
-            self.desk,
+            self.dispatcher,
             self.budget,
             self.buffers,
             allowed.get("connect-timeout-us", 1000000) * 1e-6,
             allowed.get("idle-close-us", 60000000) * 1e-6,
-            self.desk.events,
+            self.dispatcher.events,
+        )
+        self.clients = Clients(
+            self.dispatcher, self.executors, self.budget, self.buffers, self.dispatcher.monitor
         )
-        self.clients = Clients(self.desk, self.executors, self.budget, self.buffers, self.desk.monitor)
-        self.discovery = discovery.Discovery(self.desk, self.buffers, parse(config["discovery"]))
+        self.discovery = discovery.Discovery(self.dispatcher, self.buffers, parse(config["discovery"]))
         to_all = config.get("peers_all")
         self.peers = Peers(
-            self.desk, [parse(text) for text in config.get("peers", [])], parse(to_all) if to_all else None
+            self.dispatcher,
+            [parse(text) for text in config.get("peers", [])],
+            parse(to_all) if to_all else None,
         )
         known = config.get("known")
         if known:
             update = listing.read(known)
-            self.desk.report_list(update.version, True, update.entries)
+            self.dispatcher.report_list(update.version, True, update.entries)
         self.opened_at = self.clock()
-        self.stop = Stop(self, Deadlines(longest_deadline(settings)))
+        self.stop = GracefulShutdown(self, Deadlines(longest_deadline(settings)))
         self.reread: Callable[[], None] = lambda: None  # reads the file of the configuration again
         self.begun_at = monotonic()
         self.accepting: asyncio.Task | None = None
         self.listener: socket.socket | None = None
-        self.succession = Succession(self)
+        self.succession = HotRestart(self)
         self.cluster = None  # `join` gives it one
 
     def join(self, operations) -> None:
@@ -95,7 +101,7 @@
         from firwalk.net.cluster import Cluster
 
         self.cluster = self.peers.cluster = Cluster(
-            operations, self.config, self.peers.send, list(self.peers.numbers), self.desk
+            operations, self.config, self.peers.send, list(self.peers.numbers), self.dispatcher
         )
         self.cluster.strangers = lambda: self.peers.dropped
         self.cluster.tag = lambda: str(self.config.get("tag", ""))
@@ -106,29 +112,29 @@
 
     def _turn(self) -> None:
         try:
-            when, chores = self.desk.tick()
+            when, chores = self.dispatcher.run_due_timers()
         except Exception as problem:
-            trouble("running timers", problem)
+            log_exception("running timers", problem)
             when, chores = self.clock(), []
         if when != float("inf"):
             self.turns.after(max(when - self.clock(), 0.0005))
         for chore in chores:
             self._do(*chore)
 
-    def _do(self, kind: Chore, *about) -> None:
-        if kind is Chore.PROBE:
+    def _do(self, kind: BackgroundAction, *about) -> None:
+        if kind is BackgroundAction.PROBE:
             if not self.succession.handed:  # the process that takes the tasks probes for them
                 self.executors.probe(*about)
-        elif kind is Chore.CLOSE_IDLE:
+        elif kind is BackgroundAction.CLOSE_IDLE:
             self.executors.close_idle(*about)
-        elif kind is Chore.WATCH:
+        elif kind is BackgroundAction.WATCH:
             self.discovery.watch(*about)
-        elif kind is Chore.ASK_LIST:
+        elif kind is BackgroundAction.ASK_LIST:
             self.discovery.ask()
-        elif kind is Chore.TELL:
+        elif kind is BackgroundAction.TELL:
             self.peers.tell(*about)
         else:
-            say(about[0])
+            log_external(about[0])
 
     async def _sweep(self) -> None:
         while True:
@@ -179,7 +185,11 @@
         """What the configuration says of executors may be long out of date: a node that came back with its
         zone sent on to executors that were gone since. With the service down, or busy, it has to do."""
         end = monotonic() + LIST_TIME
-        while monotonic() < end and self.desk.list_awaited(self.opened_at) and not self.told_to_stop():
+        while (
+            monotonic() < end
+            and self.dispatcher.is_awaiting_endpoint_list(self.opened_at)
+            and not self.told_to_stop()
+        ):
             await asyncio.sleep(0.01)
 
     def _let_in(self) -> None:
@@ -190,7 +200,7 @@
             try:
                 self.peers.bind(parse(self.config["peer_listen"]))
             except OSError as problem:  # their warnings help, but no rule rests on them
-                report(f"other nodes cannot be heard: {problem}")
+                log_internal(f"other nodes cannot be heard: {problem}")
 
     # -- two processes as one node -------------------------------------------------------------------------
 
@@ -235,40 +245,40 @@
         if word == "PING":
             return "" if self._serves() else "not yet: the list of executors has not come"
         out = word == "DETACH"
-        known = self.desk.report_out(name) if out else self.desk.report_back(name)
+        known = self.dispatcher.detach_executor(name) if out else self.dispatcher.attach_executor(name)
         known = await self.succession.tell(name, out, known)
         if known:
-            report(f"operators: {name} is {'taken out' if word == 'DETACH' else 'in use again'}")
+            log_internal(f"operators: {name} is {'taken out' if word == 'DETACH' else 'in use again'}")
         return "" if known else "no such executor"
 
     def _serves(self) -> bool:
         """It takes clients and knows its executors: by a fresh list, or, if none comes, by the one kept."""
         if self.accepting is None:
             return False
-        return self.desk.list_at > self.opened_at or monotonic() > self.begun_at + LIST_TIME
+        return self.dispatcher.list_received_at > self.opened_at or monotonic() > self.begun_at + LIST_TIME
 
     def reload(self, config: object) -> None:
         """Takes over what can change live. All is read before anything is changed: half a configuration is
         worse than the old one."""
-        check_news(self.config, config)
+        validate_reload(self.config, config)
         address = parse(config["discovery"])
         listing.read(config.get("known") or {"generation": 0, "instances": []})
         fixed = needs_restart(self.config, config)
         self.stop.deadline_changed(longest_deadline(config["settings"]))
         if self.told_to_stop():
-            report("a new configuration comes too late: the node ends")
+            log_internal("a new configuration comes too late: the node ends")
             return
-        if config["settings"] != self.desk.settings:
-            self.desk.report_settings(config["settings"])
+        if config["settings"] != self.dispatcher.settings:
+            self.dispatcher.report_settings(config["settings"])
         self.discovery.move(address)
         self.config = self.config | {word: config[word] for word in ("discovery", "tag") if word in config}
-        self.desk.events.record(Event.STATE, State.RELOADED)
-        report(
+        self.dispatcher.events.record(Event.STATE, ProcessState.RELOADED)
+        log_internal(
             f"reloaded; the list's service is {config['discovery']}; offerings:"
-            f" {', '.join(map(str, self.desk.offerings))}"
+            f" {', '.join(map(str, self.dispatcher.request_classes))}"
         )
         if fixed:
-            report(f"changes that need a restart: {', '.join(fixed)}")
+            log_internal(f"changes that need a restart: {', '.join(fixed)}")
 
     async def run(self) -> None:
         standing = [
@@ -282,13 +292,13 @@
         except ToldToStop:
             begun = False
         if not begun:
-            report("told to end before it served: nothing was taken")
+            log_internal("told to end before it served: nothing was taken")
             self.let_go(standing)
             return
         self._accept()
         self.succession.listen()
-        self.desk.events.record(Event.STATE, State.SERVING)
-        report(f"{self.config.get('name', 'node')} listens at {self.config['listen']}")
+        self.dispatcher.events.record(Event.STATE, ProcessState.SERVING)
+        log_internal(f"{self.config.get('name', 'node')} listens at {self.config['listen']}")
         await self.stop.told.wait()
         await self._end(standing)
 
@@ -320,17 +330,17 @@
 
     async def _end(self, standing: list[asyncio.Task]) -> None:
         """Answers all that was taken, in the time that is left, and lets go of everything."""
-        report("told to end")
+        log_internal("told to end")
         if self.cluster is not None:
             self.cluster.leave()
         await self.stop.run()
         self.let_go(standing)
         self.clients.check_stopped()
-        self.desk.events.record(Event.STATE, State.STOPPED)
-        report(f"ended, {len(self.clients.open)} clients left; {self.clients.malformed} were sent away")
+        self.dispatcher.events.record(Event.STATE, ProcessState.STOPPED)
+        log_internal(f"ended, {len(self.clients.open)} clients left; {self.clients.malformed} were sent away")
         self.tell_counts()
 
     def tell_counts(self) -> None:
         """What happened so far, by reason, and how often a rule was seen broken."""
-        report(f"counts: {self.desk.events.summary()}")
-        report(f"rules seen broken: {sum(self.desk.monitor.violations.values())}")
+        log_internal(f"counts: {self.dispatcher.events.summary()}")
+        log_internal(f"rules seen broken: {sum(self.dispatcher.monitor.violations.values())}")
--- a/firwalk/observability/events.py
+++ b/firwalk/observability/events.py
@@ -16,13 +16,13 @@
 KEPT_EVENTS = 256  # the last ones, which are told when a rule is seen broken
 
 
-class Word(StrEnum):
+class EventWord(StrEnum):
     """A name in the log. Hashed as the string that it is, since events are counted by it."""
 
     __hash__ = str.__hash__
 
 
-class Event(Word):
+class Event(EventWord):
     """What can happen."""
 
     REQUEST_TAKEN = "request_taken"
@@ -38,7 +38,7 @@
     VIOLATION = "violation"
 
 
-class CloseReason(Word):
+class CloseReason(EventWord):
     """Why a connection ends."""
 
     PEER_LEFT = "peer_left"
@@ -57,7 +57,7 @@
     FAILURE = "failure"
 
 
-class Refusal(Word):
+class FailureReason(EventWord):
     """Why a request is given up."""
 
     NO_EXECUTOR = "no_executor_in_time"
@@ -70,7 +70,7 @@
     DUPLICATE_ID = "duplicate_id"
 
 
-class State(Word):
+class ProcessState(EventWord):
     """Phases of the process."""
 
     SERVING = "serving"
--- a/firwalk/observability/log.py
+++ b/firwalk/observability/log.py
@@ -12,7 +12,7 @@
 
 MOST = 20  # different lines a second, of each kind
 
-broken: dict[str, int] = {}
+violations: dict[str, int] = {}
 
 
 class _Quota:
@@ -47,17 +47,17 @@
 _of_peers, _own = _Quota(), _Quota()
 
 
-def say(line: str) -> None:
+def log_external(line: str) -> None:
     """What clients, executors and other nodes bring about."""
     _of_peers.say(line)
 
 
-def report(line: str) -> None:
+def log_internal(line: str) -> None:
     """What the process itself does, and what is wrong with it: no bytes of others crowd it out."""
     _own.say(line)
 
 
-def write(line: str) -> None:
+def log_unlimited(line: str) -> None:
     """A line whatever the rate: for events that somebody outside counts."""
     _print(line)
 
@@ -115,17 +115,17 @@
     _output.write(line)
 
 
-def must(holds: bool, what: str) -> None:
+def check_invariant(holds: bool, what: str) -> None:
     """What must hold: asserted in debug builds; counted and told in release builds (-O)."""
     if __debug__:
         assert holds, what
     elif not holds:
-        broken[what] = broken.get(what, 0) + 1
-        report(f"does not hold ({broken[what]}): {what}")
+        violations[what] = violations.get(what, 0) + 1
+        log_internal(f"does not hold ({violations[what]}): {what}")
 
 
-def trouble(where: str, problem: BaseException) -> None:
+def log_exception(where: str, problem: BaseException) -> None:
     """An error of our own: told with its place in the code, and the node goes on."""
-    broken[where] = broken.get(where, 0) + 1
+    violations[where] = violations.get(where, 0) + 1
     text = " | ".join(line.strip() for line in traceback.format_exception(problem)[-8:])
-    report(f"error while {where} ({broken[where]}): {' '.join(text.split())}")
+    log_internal(f"error while {where} ({violations[where]}): {' '.join(text.split())}")
--- a/firwalk/observability/monitor.py
+++ b/firwalk/observability/monitor.py
@@ -13,16 +13,27 @@
 from typing import TYPE_CHECKING
 
 from firwalk.observability.events import Event, EventLog
-from firwalk.observability.log import report
-from firwalk.policy.interface import Effect, Group, Outcome
+from firwalk.observability.log import log_internal
+from firwalk.policy.interface import DeduplicationScope, Idempotency, Outcome
 
 if TYPE_CHECKING:
-    from firwalk.policy.policy import Assignment, Task
+    from firwalk.policy.policy import Attempt, Request
 
 LATE_S = 0.5  # past its deadline at which an answer counts as none
-NEVER_RAN = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 REJECTED = (429, 503)
-OUTCOME_REASONS = {outcome: outcome.name.lower() for outcome in Outcome}
+# Events keep the words that they have always had: collectors of events know them.
+OUTCOME_REASONS = {
+    Outcome.COMPLETED: "finished",
+    Outcome.ERROR: "error",
+    Outcome.AT_CAPACITY: "full",
+    Outcome.TIMED_OUT: "timed_out",
+    Outcome.CONNECT_FAILED: "no_connection",
+    Outcome.CONNECTION_LOST: "broken",
+    Outcome.CANCELLED: "cancelled",
+    Outcome.NOT_SENT: "not_sent",
+    Outcome.INVALID: "unfit",
+}
 MAX_HISTORY = 12  # events of a request that are told with a violation
 
 
@@ -56,8 +67,8 @@
     """One request, from its last byte to the end of its last attempt."""
 
     request_id: str
-    effect: Effect
-    group: Group
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
     remembered_s: float
     deadline: float
     attempts: dict[int, AttemptRecord] = field(default_factory=dict)
@@ -83,15 +94,17 @@
         self.events.record(Event.VIOLATION, rule.name.lower(), request_id, **details)
         told = " ".join(f"{name} {value}" for name, value in details.items())
         about = f"request {request_id or 'none'} {told} {' '.join(history)}"
-        report(f"rule broken ({count}): {rule}: {about.rstrip()}")
+        log_internal(f"rule broken ({count}): {rule}: {about.rstrip()}")
 
     # -- requests -------------------------------------------------------------------------------------------
 
-    def taken(self, request_id: str, task: Task, deadline: float) -> RequestRecord:
+    def taken(self, request_id: str, task: Request, deadline: float) -> RequestRecord:
         """A request has come, whole."""
-        offering = task.offering
+        offering = task.request_class
         self.events.record(Event.REQUEST_TAKEN, "", request_id, left_s=round(deadline - self.clock(), 4))
-        return RequestRecord(request_id, offering.effect, offering.group, offering.remembered, deadline)
+        return RequestRecord(
+            request_id, offering.idempotency, offering.deduplication_scope, offering.key_ttl, deadline
+        )
 
     def answered(self, record: RequestRecord, status: int, reason: str) -> None:
         """Its final answer is written."""
@@ -114,15 +127,15 @@
     @staticmethod
     def _harmless(record: RequestRecord) -> bool:
         """Whether a retry can do no harm: none of it can have run, or running it again changes nothing."""
-        if record.effect is Effect.IDEMPOTENT:
+        if record.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if record.effect is Effect.FINGERPRINTED and record.group is Group.ALL:
+        if record.idempotency is Idempotency.KEYED and record.deduplication_scope is DeduplicationScope.ALL:
             return True
         return not any(attempt.committed and not attempt.never_ran for attempt in record.attempts.values())
 
     # -- attempts -------------------------------------------------------------------------------------------
 
-    def attempt_begun(self, record: RequestRecord, assignment: Assignment, reason: str) -> None:
+    def attempt_begun(self, record: RequestRecord, assignment: Attempt, reason: str) -> None:
         """The first byte of an attempt is about to be written."""
         executor, now = assignment.executor, self.clock()
         attempt = AttemptRecord(executor.ref.name, executor.zone, executor.cell, now)
@@ -146,15 +159,15 @@
     @staticmethod
     def _repeats(record: RequestRecord, earlier: AttemptRecord, attempt: AttemptRecord) -> bool:
         """Whether the new attempt may have an effect for the second time."""
-        if record.effect is Effect.IDEMPOTENT or not earlier.committed or earlier.never_ran:
+        if record.idempotency is Idempotency.IDEMPOTENT or not earlier.committed or earlier.never_ran:
             return False
-        if record.effect is Effect.SIDE_EFFECTING:
+        if record.idempotency is Idempotency.NON_IDEMPOTENT:
             return True
         if attempt.sent_at > earlier.sent_at + record.remembered_s:
             return True
-        if record.group is Group.ZONE:
+        if record.deduplication_scope is DeduplicationScope.ZONE:
             return earlier.zone is not attempt.zone
-        return record.group is Group.CELL and earlier.cell != attempt.cell
+        return record.deduplication_scope is DeduplicationScope.CELL and earlier.cell != attempt.cell
 
     def attempt_committed(self, record: RequestRecord, number: int) -> None:
         """Its last byte is about to be written: from here on it may run."""
@@ -170,15 +183,15 @@
             record.attempts[number].never_ran = outcome in NEVER_RAN
         self.events.record(Event.ATTEMPT_ENDED, OUTCOME_REASONS[outcome], record.request_id, attempt=number)
 
-    def resumed(self, request_id: str, task: Task, deadline: float, begun: set[int]) -> RequestRecord:
+    def resumed(self, request_id: str, task: Request, deadline: float, begun: set[int]) -> RequestRecord:
         """A request that another process of this node had goes on here, with its history."""
         record = self.taken(request_id, task, deadline)
-        for one in task.assignments:
+        for one in task.attempts:
             record.attempts[one.number] = AttemptRecord(
                 one.executor.ref.name,
                 one.executor.zone,
                 one.executor.cell,
-                one.sent,
+                one.sent_at,
                 committed=one.number in begun,
                 never_ran=not one.may_have_run,
             )
--- a/firwalk/policy/candidates.py
+++ b/firwalk/policy/candidates.py
@@ -16,7 +16,7 @@
 from itertools import chain, islice
 from typing import TYPE_CHECKING
 
-from firwalk.policy.interface import Condition
+from firwalk.policy.interface import EndpointState
 
 if TYPE_CHECKING:
     from firwalk.policy.policy import Executor
@@ -54,7 +54,7 @@
         if not self.large or len(changed) > FEW_CHANGES:
             return False
         for executor, was_ready in changed.items():
-            ready = executor.condition is Condition.READY
+            ready = executor.condition is EndpointState.READY
             among = self.near if executor.zone is own_zone else self.far
             if was_ready and not ready:
                 among.remove(executor)
@@ -79,7 +79,7 @@
         """Those of the ready ones that still are; others are forgotten."""
         for executor in [one for one in self.active if not (one.held or one.idle)]:
             del self.active[executor]
-        return [one for one in self.active if one.condition is Condition.READY]
+        return [one for one in self.active if one.condition is EndpointState.READY]
 
     def sample(self, own_zone: object, chance: float) -> list[Executor]:
         """The own zone first, and in each zone those with own work first."""
@@ -104,7 +104,7 @@
         """Whom a point on the ring of all ready executors belongs to: consistent hashing."""
         at = bisect_left(self.ring, (point,))
         around = chain(islice(self.ring, at, None), islice(self.ring, at))
-        return tuple(islice((one for _, _, one in around if one.condition is Condition.READY), count))
+        return tuple(islice((one for _, _, one in around if one.condition is EndpointState.READY), count))
 
 
 def _window(among: list[Executor], chance: float, count: int) -> list[Executor]:
--- a/firwalk/policy/interface.py
+++ b/firwalk/policy/interface.py
@@ -12,18 +12,18 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 if TYPE_CHECKING:
-    from firwalk.policy.policy import Assignment, Executor, Task
+    from firwalk.policy.policy import Attempt, Executor, Request
 
 
-class Effect(IntEnum):
+class Idempotency(IntEnum):
     """What running a task twice would do."""
 
     IDEMPOTENT = 0
-    FINGERPRINTED = 1
-    SIDE_EFFECTING = 2
+    KEYED = 1
+    NON_IDEMPOTENT = 2
 
 
-class Group(IntEnum):
+class DeduplicationScope(IntEnum):
     """Which executors drop the repeats of a fingerprinted task."""
 
     ALL = 0
@@ -31,10 +31,10 @@
     CELL = 2
 
 
-class Condition(IntEnum):
+class EndpointState(IntEnum):
     """What the list of executors says of one of them."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
@@ -43,56 +43,56 @@
     """How an assignment ended. Only FULL, NO_CONNECTION and NOT_SENT prove that it never ran. UNFIT is the
     executor's word that the task itself is bad: it ends the task and says nothing of the executor."""
 
-    FINISHED = 0
+    COMPLETED = 0
     ERROR = 1
-    FULL = 2
+    AT_CAPACITY = 2
     TIMED_OUT = 3
-    NO_CONNECTION = 4
-    BROKEN = 5
+    CONNECT_FAILED = 4
+    CONNECTION_LOST = 5
     CANCELLED = 6
     NOT_SENT = 7
-    UNFIT = 8
+    INVALID = 8
 
 
 class Host(Protocol):
     """The acts a node can ask for; each takes effect at the time of the call that is being answered."""
 
-    def send(self, task: Task, executor: Executor, limit: float) -> None:
+    def send(self, request: Request, executor: Executor, limit: float) -> None:
         """Give the task to the executor, with a time-out in seconds (0: until its expiry)."""
 
-    def terms(self, task: Task) -> float:
+    def admission_weight(self, request: Request) -> float:
         """What nodes decided in common says of a task that came just now: times its value; 0: it is turned
         away before anything of it is sent. It may give it another home than the node's zone. 1.0, and
         nothing done, where nothing is decided in common."""
 
-    def bounce(self, task: Task, wait: float) -> None:
+    def reject(self, request: Request, wait: float) -> None:
         """Final answer: trying again is harmless; `wait` is retry-after advice (0: none)."""
 
-    def abandon(self, task: Task) -> None:
+    def fail(self, request: Request) -> None:
         """Final answer that promises nothing."""
 
-    def cancel(self, assignment: Assignment) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Call off an assignment that is out; it still gets its one outcome."""
 
-    def begun(self, assignment: Assignment) -> bool:
+    def may_have_reached(self, attempt: Attempt) -> bool:
         """Whether it may have reached its executor; True where the host cannot tell."""
 
-    def probe(self, executor: Executor) -> None:
+    def check_health(self, executor: Executor) -> None:
         """Ask an executor for its load report."""
 
-    def close_idle(self, executor: Executor) -> None:
+    def close_idle_connections(self, executor: Executor) -> None:
         """Close this node's idle connections to an executor."""
 
     def set_timer(self, when: float, act: Callable[[float, Any], None], about: Any) -> None:
         """Call `act(now, about)` once, at `when` or soon after; it cannot be unset."""
 
-    def warn_peers(self, executor: Executor) -> None:
+    def gossip_failure(self, executor: Executor) -> None:
         """Tell all other nodes that this executor erred."""
 
-    def watch(self, on: bool) -> None:
+    def watch_endpoints(self, on: bool) -> None:
         """Open or close the standing subscription to the list of executors."""
 
-    def ask_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         """Ask once for the whole list of executors."""
 
     def note(self, line: str) -> None:
--- a/firwalk/policy/policy.py
+++ b/firwalk/policy/policy.py
@@ -14,7 +14,7 @@
 from zlib import crc32
 
 from firwalk.policy.candidates import Candidates
-from firwalk.policy.interface import Condition, Effect, Group, Host, Outcome
+from firwalk.policy.interface import DeduplicationScope, EndpointState, Host, Idempotency, Outcome
 
 WEIGHT, KIND_WEIGHT = 0.2, 0.05  # of a new sample in a speed (the design's start); of that in its kind's
 FLOOR = 0.1  # least (1 - utilisation) that an estimate is divided by (the design's start)
@@ -23,7 +23,11 @@
 LAG_FADE = 3.0  # seconds in which a lag without news fades to nothing
 PARTS = 3.0  # times its mean part of all traffic that a node may have without a report showing it
 SHARE_WINDOW, LEAST_SHARE = 3.0, 5.0  # seconds of its share that a tenant may use at once; tasks, anyhow
-FAULTS = {Outcome.ERROR: 0.3, Outcome.NO_CONNECTION: 0.3, Outcome.BROKEN: 0.15}  # weights in share of errors
+FAULTS = {
+    Outcome.ERROR: 0.3,
+    Outcome.CONNECT_FAILED: 0.3,
+    Outcome.CONNECTION_LOST: 0.15,
+}  # weights in share of errors
 ERROR_LIMIT = 0.45  # share of errors at which it is set aside: two close together, never one alone
 STRIKES, MISSED = 2, 3  # signs of silence that set one aside; executors out of reach with which a zone is
 AWAY, MOST_AWAY = 3.0, 0.34  # seconds set aside, plus as long by chance; share of the ready ones at once
@@ -42,24 +46,28 @@
 MOVES, MOST_MOVES = 0.2, 3.0  # moves that a new task adds to what may be placed anew; the most that add up
 
 
-class Offering:
+class RequestClass:
     """A kind of task: when answers are wanted, what they earn, what a repeat would do."""
 
     def __init__(
         self,
-        due: float,
-        expiry: float,
+        latency_objective: float,
+        deadline: float,
         *,
-        importance: float = 1.0,
-        effect: Effect = Effect.SIDE_EFFECTING,
-        group: Group = Group.CELL,
-        remembered: float = 0.0,
-        stretch: float = 0.0,
-        kind: int = -1,
+        priority_weight: float = 1.0,
+        idempotency: Idempotency = Idempotency.NON_IDEMPOTENT,
+        deduplication_scope: DeduplicationScope = DeduplicationScope.CELL,
+        key_ttl: float = 0.0,
+        objective_stretch: float = 0.0,
+        work_kind: int = -1,
     ):
-        self.due, self.expiry, self.importance = due, expiry, importance
-        self.effect, self.group, self.remembered = effect, group, remembered
-        self.stretch, self.kind, self.most = stretch, kind, 0.0
+        self.latency_objective, self.deadline, self.priority_weight = (
+            latency_objective,
+            deadline,
+            priority_weight,
+        )
+        self.idempotency, self.deduplication_scope, self.key_ttl = idempotency, deduplication_scope, key_ttl
+        self.objective_stretch, self.work_kind, self.most = objective_stretch, work_kind, 0.0
         self.met, self.log_mean, self.log_spread = 0, 0.0, 0.0  # of the hints that arrived
         self.finished, self.log_hint, self.log_work = 0, 0.0, 0.0  # of the tasks that finished
         self.hint_spread = self.together = TRUST
@@ -99,33 +107,55 @@
         return within
 
 
-class Assignment:
+class Attempt:
     """One sending of a task to one executor."""
 
-    def __init__(self, task: Task, executor: Executor, sent: float, estimate: float, wait: float):
-        self.task, self.executor, self.number, self.started_at = task, executor, len(task.assignments), 0.0
-        self.sent, self.estimate, self.wait, self.out, self.may_have_run = sent, estimate, wait, True, True
+    def __init__(self, request: Request, executor: Executor, sent_at: float, estimate: float, wait: float):
+        self.request, self.executor, self.number, self.started_at = (
+            request,
+            executor,
+            len(request.attempts),
+            0.0,
+        )
+        self.sent_at, self.estimate, self.wait, self.is_in_flight, self.may_have_run = (
+            sent_at,
+            estimate,
+            wait,
+            True,
+            True,
+        )
 
 
-class Task:
+class Request:
     """What a client asked for, until its one final answer and the end of its last assignment."""
 
     def __init__(
         self,
         ref: object,
-        offering: Offering,
+        request_class: RequestClass,
         hint: float,
         cost: float,
         slots: float,
         draw: float,
-        due: float,
-        expiry: float,
+        objective_at: float,
+        deadline: float,
     ):
-        self.ref, self.offering, self.hint, self.cost = ref, offering, hint, cost
+        self.ref, self.request_class, self.hint, self.cost = ref, request_class, hint, cost
         self.slots, self.work = slots, cost * slots  # slots that it takes for as long as it runs
-        self.due, self.expiry, self.draw = due, expiry, draw  # its draw: which cold executors it may go to
-        self.assignments, self.homes = [], ()  # homes: executors that may keep what its key needs
-        self.still_out, self.open, self.bound, self.value, self.most, self.home = 0, True, False, 0.0, 1, None
+        self.objective_at, self.deadline, self.draw = (
+            objective_at,
+            deadline,
+            draw,
+        )  # its draw: which cold executors it may go to
+        self.attempts, self.sticky_executors = [], ()  # homes: executors that may keep what its key needs
+        self.in_flight, self.is_open, self.bound, self.value, self.max_attempts, self.preferred_zone = (
+            0,
+            True,
+            False,
+            0.0,
+            1,
+            None,
+        )
 
 
 class Zone:
@@ -138,7 +168,7 @@
         return self.lag * max(1.0 - (now - self.lag_at) / LAG_FADE, 0.0)
 
 
-class Pace:
+class SpeedEstimate:
     """A speed, as the ratio of smoothed cost to smoothed time, so that light tasks do not rule it."""
 
     def __init__(self, speed: float):
@@ -153,13 +183,13 @@
         self.speed = self.cost_mean / self.time_mean
 
 
-class Executor(Pace):
+class Executor(SpeedEstimate):
     """A worker as this node sees it."""
 
     def __init__(self, ref: object, kind: int, zone: Zone, cell: int, speed: float, draw: float):
         super().__init__(speed)
         self.ref, self.kind, self.zone, self.cell, self.draw = ref, kind, zone, cell, draw  # draw: while cold
-        self.condition, self.came_up, self.cold_until, self.unused = Condition.GONE, 0.0, 0.0, False
+        self.condition, self.came_up, self.cold_until, self.unused = EndpointState.REMOVED, 0.0, 0.0, False
         self.work, self.held, self.others, self.idle = 0.0, 0.0, 0.0, 0  # own estimates, slots; connections
         self.used_mean, self.held_mean, self.reported_at, self.warned_at = 0.0, 0.0, 0.0, -WARNED
         self.lag, self.lag_at, self.errors, self.strikes = 0.0, 0.0, 0.0, 0  # lag: of starts, unexplained
@@ -188,7 +218,7 @@
         return common + (self.lag - common) * max(1.0 - (now - self.lag_at) / LAG_FADE, 0.0)
 
 
-class Node:
+class Policy:
     """One dispatcher: all it knows for as long as it lives; one method for each thing that happens."""
 
     def __init__(
@@ -217,7 +247,7 @@
         peers: bool,
         **tunable: Any,
     ):
-        self.retuned(**tunable)
+        self.reconfigure(**tunable)
         self.host, self.seed, self.counter, self.nodes = host, seed, 0, nodes
         self.zone, self.pace = Zone(), min(max(nodes - FEW, 0) * CALL_GAP, ask_within / 3)  # of list calls
         self.zones, self.kinds, self.keys = {zone: self.zone}, {}, {}  # of keys, their executors
@@ -234,16 +264,16 @@
         self.near_at = self.far_at = int(self._chance() * 4294967296.0)  # where the next probes go
         self.mean_cost, self.mean_value, self.misses, self.met, self.ask_within = 0.0, 0.0, 0, 0, ask_within
         first = now + (tick + min(self.pace, FIRST_CALLS) / nodes) * own_number
-        host.set_timer(first, lambda *_: host.watch(True), None) if must_ask else None
+        host.set_timer(first, lambda *_: host.watch_endpoints(True), None) if must_ask else None
         host.set_timer(now + (own_number + 1) / self.nodes * PROBE_EVERY, self._round, None)
 
     def _chance(self) -> float:
         self.counter += 1
         return crc32(b"%d:%d" % (self.seed, self.counter)) / 4294967296.0
 
-    def retuned(
+    def reconfigure(
         self,
-        offerings: list[Offering],
+        request_classes: list[RequestClass],
         tenants: list[Tenant],
         most: int,
         longest_advice: float,
@@ -253,8 +283,8 @@
         handshake: float,
     ) -> None:
         """Other settings from now on. A task under way keeps its offering and number of assignments."""
-        self.offerings, self.tenants, self.most = offerings, tenants, most
-        self.longest_advice, self.beyond_share, self.by_work = longest_advice, beyond_share, by_work
+        self.request_classes, self.tenants, self.max_attempts = request_classes, tenants, most
+        self.max_retry_after, self.beyond_share, self.by_work = longest_advice, beyond_share, by_work
         self.crossing, self.handshake = crossing, handshake
 
     def new_executor(
@@ -262,7 +292,7 @@
     ) -> Executor:
         """At first it has the mean speed of its kind, or of all, or 1; and one slot, if no size is listed."""
         known = [pace.speed for pace in self.kinds.values() if pace.met] or [1.0]
-        pace = self.kinds.setdefault(kind, Pace(sum(known) / len(known)))
+        pace = self.kinds.setdefault(kind, SpeedEstimate(sum(known) / len(known)))
         draw, place = len(self.executors) * GOLDEN % 1.0, self.zones.setdefault(zone, Zone())
         executor = Executor(ref, kind, place, cell, pace.speed, draw)
         executor.slots = max(pace.slots, round(size) if self.sized else 1.0)
@@ -271,38 +301,40 @@
         self.candidates.met(executor)
         return executor
 
-    def heard(self, now: float, executor: Executor, condition: Condition, came_up: float) -> None:
+    def endpoint_changed(
+        self, now: float, executor: Executor, condition: EndpointState, came_up: float
+    ) -> None:
         if condition is not executor.condition:
-            self.candidates.changes(executor, executor.condition is Condition.READY)
+            self.candidates.changes(executor, executor.condition is EndpointState.READY)
         executor.condition = condition
-        if condition is Condition.READY and came_up > executor.came_up:
+        if condition is EndpointState.READY and came_up > executor.came_up:
             executor.came_up, executor.cold_until, executor.unused = came_up, came_up + self.cold_for, True
             executor.others, executor.errors, executor.strikes, executor.away_until = 0.0, 0.0, 0, 0.0
             executor.sent_cold.clear()
             self.candidates.restarted(executor)
 
-    def list_heard(self, now: float) -> None:
+    def endpoint_list_received(self, now: float) -> None:
         self.lists, self.misses = self.lists + 1, 0
         if self.candidates.take_in(self.zone):
             return  # what all bear is counted anew each second
-        ready = [e for e in self.executors if e.condition is Condition.READY]
+        ready = [e for e in self.executors if e.condition is EndpointState.READY]
         self.near = [e for e in ready if e.zone is self.zone]
         self.far = [e for e in ready if e.zone is not self.zone]
         self.candidates.listed(self.near, self.far)
         self.capacity = sum(e.slots * e.speed * self._warmth(now, e) for e in ready) or 1.0
 
-    def list_broken(self, now: float, silent: bool = False) -> None:
+    def endpoint_list_failed(self, now: float, silent: bool = False) -> None:
         """Its service works off all calls in turn, late ones too: asked at the pace of one node, for ever."""
         turned_down, self.misses = self.misses + (not silent), self.misses + 1
         wait = min(LIST_RETRY * 2.0 ** min(turned_down, 9) + self.pace * turned_down, LIST_RETRY_MOST)
         wait = (0.5 + self._chance()) * wait if turned_down else self._chance() * SILENT_SPREAD
-        self.host.set_timer(now + wait, lambda *_: self.host.watch(True), None)
+        self.host.set_timer(now + wait, lambda *_: self.host.watch_endpoints(True), None)
 
-    def task_arrived(
+    def request_arrived(
         self,
         now: float,
         ref: object,
-        offering: int,
+        request_class: int,
         tenant: int,
         budget: float,
         cost: float,
@@ -310,35 +342,44 @@
         memory: float,
         again: bool,
         key: bytes = b"",
-    ) -> Task:
-        kind, hint = self.offerings[offering], cost or max(slots, 1.0)
+    ) -> Request:
+        kind, hint = self.request_classes[request_class], cost or max(slots, 1.0)
         cost = kind.cost(hint)
         kind.most = max(kind.most, budget)
-        gone = max((kind.expiry if self.marked else kind.most) - budget, 0.0)
-        due = kind.due + kind.stretch * cost - (gone if again or not self.marked else 0.0)
-        task = Task(
+        gone = max((kind.deadline if self.marked else kind.most) - budget, 0.0)
+        due = (
+            kind.latency_objective
+            + kind.objective_stretch * cost
+            - (gone if again or not self.marked else 0.0)
+        )
+        request = Request(
             ref, kind, hint, cost, max(slots, 1.0), self._chance(), now + min(due, budget), now + budget
         )  # its client waits no longer
-        task.homes = self._homes(key) if key else ()
-        value = kind.importance * (task.work if self.by_work else 1.0)
-        self._offered(now, task.work)
+        request.sticky_executors = self._homes(key) if key else ()
+        value = kind.priority_weight * (request.work if self.by_work else 1.0)
+        self._offered(now, request.work)
         self.moves = min(self.moves + MOVES, MOST_MOVES)
         part = 0.02 if self.mean_cost else 1.0
-        self.mean_cost += part * (task.work - self.mean_cost)
+        self.mean_cost += part * (request.work - self.mean_cost)
         self.mean_value += part * (value - self.mean_value)
         beyond = (
             self.beyond_share < 1.0
             and 0 <= tenant < len(self.tenants)
             and not self.tenants[tenant].within(now, max(self.part, PARTS / self.nodes))
         )
-        terms = self.host.terms(task)  # by what nodes decide in common; 0: it is turned away, unsent
-        task.value, task.most = value * (self.beyond_share if beyond else 1.0) * terms, self.most
-        self._place(now, task) if terms else self._give_up(now, task)
+        terms = self.host.admission_weight(
+            request
+        )  # by what nodes decide in common; 0: it is turned away, unsent
+        request.value, request.max_attempts = (
+            value * (self.beyond_share if beyond else 1.0) * terms,
+            self.max_attempts,
+        )
+        self._place(now, request) if terms else self._give_up(now, request)
         if self.asks:
             self._probe()  # for the next task; before the choice, those without an answer yet would be first
-        return task
+        return request
 
-    def _place(self, now: float, task: Task) -> None:
+    def _place(self, now: float, request: Request) -> None:
         large = self.candidates.large
         among = self.candidates.in_slow_start(now, self._chance()) if large else self.near + self.far
         turns = [
@@ -346,28 +387,35 @@
             for e in among
             if e.cold_until > now
             and not e.held
-            and e.condition is Condition.READY
+            and e.condition is EndpointState.READY
             and (e.unused or e.zone is self.zone)
-            and self._cold_room(now, e, task)
+            and self._cold_room(now, e, request)
         ]
-        executor = turns and self._choose(now, task, turns) or self._choose(now, task, self._order())
-        if (executor is None or not self._send(now, task, executor)) and not task.still_out:
-            self._give_up(now, task)  # in a queue it would only make those behind it late too
+        executor = turns and self._choose(now, request, turns) or self._choose(now, request, self._order())
+        if (executor is None or not self._send(now, request, executor)) and not request.in_flight:
+            self._give_up(now, request)  # in a queue it would only make those behind it late too
 
-    def _choose(self, now: float, task: Task, among: list[Executor], anew: bool = False) -> Executor | None:
+    def _choose(
+        self, now: float, request: Request, among: list[Executor], anew: bool = False
+    ) -> Executor | None:
         """The ordinary path: least own outstanding estimated work plus Recv, among those in time."""
         best, best_load, best_answer, ties = None, 0.0, 0.0, 0
-        cost, left, kind, own = task.cost, task.due - now, task.offering.kind, task.home or self.zone
+        cost, left, kind, own = (
+            request.cost,
+            request.objective_at - now,
+            request.request_class.work_kind,
+            request.preferred_zone or self.zone,
+        )
         # What earns less for its work than the mean may wait only that part of its slack, or dear ones wait.
-        part = min(task.value * self.mean_cost / (task.work * self.mean_value), 1.0) ** 2
-        price = max(left, 0.0) * self.mean_value / max(task.value, 1e-9)  # Recv, as time
+        part = min(request.value * self.mean_cost / (request.work * self.mean_value), 1.0) ** 2
+        price = max(left, 0.0) * self.mean_value / max(request.value, 1e-9)  # Recv, as time
         recv, opening = price * self.crossing, price * self.handshake
-        near = self.crossing * self.mean_value > task.value and self.near and own is self.zone
-        side, setup = task.offering.effect is Effect.SIDE_EFFECTING, SETUP * self.mean_cost
+        near = self.crossing * self.mean_value > request.value and self.near and own is self.zone
+        side, setup = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT, SETUP * self.mean_cost
         commons = {zone: zone.lag_now(now) for zone in self.zones.values()}
         for executor in among if own is self.zone else sorted(among, key=lambda e: e.zone is not own):
             load = (0.0 if executor.zone is own else recv) + (0.0 if executor.idle else opening)
-            load += setup if task.homes and executor not in task.homes else 0.0
+            load += setup if request.sticky_executors and executor not in request.sticky_executors else 0.0
             if best is not None and load > best_load or near and executor.zone is not own:
                 continue
             load += executor.work / executor.slots
@@ -380,14 +428,14 @@
                 continue
             if executor.on_trial and (executor.held or side) or kind >= 0 and executor.kind != kind:
                 continue
-            if task.assignments and not self._may_repeat(now, task, executor, anew):
+            if request.attempts and not self._may_repeat(now, request, executor, anew):
                 continue
             speed = executor.speed  # not the rate: a busy executor makes a task wait, it does not run slower
             if executor.cold_until > now:
-                if not self._cold_room(now, executor, task):
+                if not self._cold_room(now, executor, request):
                     continue
                 speed *= self._warmth(now, executor)
-            wait = self._wait(now, executor, task.slots)
+            wait = self._wait(now, executor, request.slots)
             if wait <= (left - cost / speed) * part:
                 ties = ties + 1 if best is not None and load == best_load else 1
                 answer = wait + cost / executor.rate()
@@ -430,7 +478,7 @@
         """All that are ready, or, of many, those that a choice would look at now."""
         return self._order() if self.candidates.large else self.near + self.far
 
-    def idle_counted(self, executor: Executor, count: int) -> None:
+    def idle_connections_counted(self, executor: Executor, count: int) -> None:
         """So many of its connections are open and free."""
         executor.idle = count
         if count:
@@ -444,7 +492,7 @@
     def _ask_some(self, among: list[Executor], at: int, most: int) -> int:
         if self.candidates.large:
             for executor in self.candidates.to_probe(among, at, most):
-                self.host.probe(executor)
+                self.host.check_health(executor)
             return at + most
         room = (FEW / self.nodes) ** 2 * len(among) - sum(e.idle + e.held > 0 for e in among)
         asked = [
@@ -453,7 +501,7 @@
             if self.nodes <= FEW or room >= 1.0 or among[(at + n) % len(among)].idle
         ][:most]
         for n in asked:
-            self.host.probe(among[(at + n) % len(among)])
+            self.host.check_health(among[(at + n) % len(among)])
         return at + asked[-1] + 1 if asked else at
 
     def _wait(self, now: float, executor: Executor, slots: float) -> float:
@@ -469,22 +517,22 @@
         part = max(now - executor.came_up, 0.0) / max(self.cold_for, 0.001)
         return min(self.cold_from + (1.0 - self.cold_from) * part, 1.0)
 
-    def _cold_room(self, now: float, executor: Executor, task: Task, own: float = 0.0) -> bool:
+    def _cold_room(self, now: float, executor: Executor, request: Request, own: float = 0.0) -> bool:
         """No node sees what others send it. Each task has one draw: its part by present capacity of all tasks
         may go there, of a node with more than its part of them so many fewer. In a window a node sends its
         part of what the rule allows, rounded up. Its first there, if light, needs no draw."""
         bears = executor.slots * executor.speed * self._warmth(now, executor)
         allowed = bears * self.fall_multiple * self.fall_window  # in a window, by all nodes together
-        if task.work > HEAVY_PART * allowed or executor.held - own + executor.others >= executor.slots:
+        if request.work > HEAVY_PART * allowed or executor.held - own + executor.others >= executor.slots:
             return False  # nor a queue: it may be slower than it looks
         sent = sum(work for at, work in executor.sent_cold if at > now - self.fall_window)
         if sent and sent >= allowed / self.nodes:
             return False
-        if executor.unused and task.work * self.nodes <= FIRSTS * HEAVY_PART * allowed:
+        if executor.unused and request.work * self.nodes <= FIRSTS * HEAVY_PART * allowed:
             return True
         part = min(COLD_PART * self.fall_multiple, 1.0) * bears
         all_offered = self._offered(now, 0.0) * self.nodes / OVERLOAD
-        return (task.draw + executor.draw) % 1.0 < part / max(self.capacity, all_offered)
+        return (request.draw + executor.draw) % 1.0 < part / max(self.capacity, all_offered)
 
     def _offered(self, now: float, work: float) -> float:
         """Work a second that came to this node lately, with some more that comes now."""
@@ -493,177 +541,188 @@
         self.offered_at = now
         return self.offered / max(1.0 - exp((self.began - now) / window), 0.01)  # a new node has seen little
 
-    def _may_repeat(self, now: float, task: Task, executor: Executor, instead: bool = False) -> bool:
+    def _may_repeat(self, now: float, request: Request, executor: Executor, instead: bool = False) -> bool:
         """Rule 2 and the limits on copies, the stricter ones, of a task sent before; `instead`: of one."""
-        if len(task.assignments) >= min(self.most, task.most):
+        if len(request.attempts) >= min(self.max_attempts, request.max_attempts):
             return False
-        if task.still_out and not self.copies and not instead:
+        if request.in_flight and not self.copies and not instead:
             return False
-        return self._safe_after(now, task, executor, task.assignments)
+        return self._safe_after(now, request, executor, request.attempts)
 
-    def _safe_after(self, now: float, task: Task, executor: Executor, before: list[Assignment]) -> bool:
+    def _safe_after(self, now: float, request: Request, executor: Executor, before: list[Attempt]) -> bool:
         """Whether what may have run before makes no second effect possible now, at this executor."""
-        effect, group = task.offering.effect, task.offering.group
+        idempotency, deduplication_scope = (
+            request.request_class.idempotency,
+            request.request_class.deduplication_scope,
+        )
         for earlier in before:
             if earlier.executor is executor:
                 return False
-            if not earlier.may_have_run or effect is Effect.IDEMPOTENT:
+            if not earlier.may_have_run or idempotency is Idempotency.IDEMPOTENT:
                 continue
             if (
-                effect is Effect.SIDE_EFFECTING
-                or now > earlier.sent + task.offering.remembered - 2 * self.tick
-                or group is Group.ZONE
+                idempotency is Idempotency.NON_IDEMPOTENT
+                or now > earlier.sent_at + request.request_class.key_ttl - 2 * self.tick
+                or deduplication_scope is DeduplicationScope.ZONE
                 and earlier.executor.zone != executor.zone
-                or group is Group.CELL
+                or deduplication_scope is DeduplicationScope.CELL
                 and earlier.executor.cell != executor.cell
             ):
                 return False
         return True
 
-    def _send(self, now: float, task: Task, executor: Executor) -> bool:
+    def _send(self, now: float, request: Request, executor: Executor) -> bool:
         """The one gate that every send passes; it keeps the four rules whatever the choice was."""
-        if not task.open or now >= task.expiry or task.bound:
+        if not request.is_open or now >= request.deadline or request.bound:
             return False  # rule 1: nothing after the final answer or the expiry
-        if executor.condition is not Condition.READY:
+        if executor.condition is not EndpointState.READY:
             return False  # rule 3: nothing to one that drains or is gone
-        if task.assignments and not self._may_repeat(now, task, executor):
+        if request.attempts and not self._may_repeat(now, request, executor):
             return False  # rule 2: no effect twice
-        if executor.cold_until > now and not self._cold_room(now, executor, task):
+        if executor.cold_until > now and not self._cold_room(now, executor, request):
             return False  # rule 4: a cold one is not pushed over
-        estimate, wait = task.work / executor.rate(), self._wait(now, executor, task.slots)
-        assignment = Assignment(task, executor, now, estimate, wait)
-        task.assignments.append(assignment)
+        estimate, wait = request.work / executor.rate(), self._wait(now, executor, request.slots)
+        attempt = Attempt(request, executor, now, estimate, wait)
+        request.attempts.append(attempt)
         executor.idle = max(executor.idle - 1, 0)
         if executor.cold_until > now:
-            executor.sent_cold.append((now, task.work))
-        self.host.send(task, executor, 0.0)
-        self.resumed(now, assignment)
+            executor.sent_cold.append((now, request.work))
+        self.host.send(request, executor, 0.0)
+        self.attempt_resumed(now, attempt)
         return True
 
-    def may_begin(self, now: float, assignment: Assignment) -> bool:
+    def may_start_attempt(self, now: float, attempt: Attempt) -> bool:
         """Whether it may still go out when its connection is up: the executor may drain or be cold by now."""
-        task, executor = assignment.task, assignment.executor
-        if not self.may_commit(now, assignment):
+        request, executor = attempt.request, attempt.executor
+        if not self.may_commit_attempt(now, attempt):
             return False
-        cold = executor.came_up > assignment.sent and executor.cold_until > now
-        return executor.condition is Condition.READY and (
-            not cold or self._cold_room(now, executor, task, own=task.slots)
+        cold = executor.came_up > attempt.sent_at and executor.cold_until > now
+        return executor.condition is EndpointState.READY and (
+            not cold or self._cold_room(now, executor, request, own=request.slots)
         )
 
-    def may_commit(self, now: float, assignment: Assignment) -> bool:
+    def may_commit_attempt(self, now: float, attempt: Attempt) -> bool:
         """Whether its last byte may go out: the window in which a repeat is known may be over by now."""
-        before = assignment.task.assignments[: assignment.number]
-        return not before or self._safe_after(now, assignment.task, assignment.executor, before)
+        before = attempt.request.attempts[: attempt.number]
+        return not before or self._safe_after(now, attempt.request, attempt.executor, before)
 
-    def resumed(self, now: float, assignment: Assignment) -> None:
+    def attempt_resumed(self, now: float, attempt: Attempt) -> None:
         """It is out, and counts: sent just now, or before, by another process (of which no mean is known)."""
-        task, executor = assignment.task, assignment.executor
-        task.still_out, executor.held = task.still_out + 1, executor.held + task.slots
-        executor.work, executor.unused = executor.work + assignment.estimate, False
+        request, executor = attempt.request, attempt.executor
+        request.in_flight, executor.held = request.in_flight + 1, executor.held + request.slots
+        executor.work, executor.unused = executor.work + attempt.estimate, False
         self.candidates.used(executor)
-        self.mean_cost, self.mean_value = self.mean_cost or task.work, self.mean_value or task.value
+        self.mean_cost, self.mean_value = self.mean_cost or request.work, self.mean_value or request.value
         part = (2 if self.copies else 3) if self.tells_start else 1  # copies add to the load: they come later
-        patience = max(task.due - now - task.cost / executor.speed, 0.0) / part
-        self.host.set_timer(now + max(patience, 2 * self.tick), self.overdue, assignment)
+        patience = max(request.objective_at - now - request.cost / executor.speed, 0.0) / part
+        self.host.set_timer(now + max(patience, 2 * self.tick), self.attempt_overdue, attempt)
 
-    def overdue(self, now: float, assignment: Assignment) -> None:
+    def attempt_overdue(self, now: float, attempt: Attempt) -> None:
         """An assignment shows no start (or, where starts are not told, no end) in the time it had."""
-        task, executor = assignment.task, assignment.executor
-        if not assignment.out or assignment.started_at or task.bound:
+        request, executor = attempt.request, attempt.executor
+        if not attempt.is_in_flight or attempt.started_at or request.bound:
             return
         if self.tells_start:
-            self._lagged(now, assignment)
-        if now - assignment.sent > assignment.wait + task.cost / executor.rate():
+            self._lagged(now, attempt)
+        if now - attempt.sent_at > attempt.wait + request.cost / executor.rate():
             executor.strikes += self.tells_start or not self.may_probe
             if executor.strikes >= (STRIKES if self.reports_count else 1) or executor.on_trial:
                 self._set_aside(now, executor)
         # Without second copies it is called off first; a cancel may stop nothing, so that both are bounded.
         first = not self.copies and self.tells_start and self.may_cancel
-        may = task.open and task.still_out < 2 and (self.moves >= 1.0 or not self.tells_start)
-        other = self._choose(now, task, self._order(), first) if may else None
+        may = request.is_open and request.in_flight < 2 and (self.moves >= 1.0 or not self.tells_start)
+        other = self._choose(now, request, self._order(), first) if may else None
         if other is not None and first:
             self.moves -= 1.0
-            self.host.cancel(assignment)
-        elif other is not None and self._send(now, task, other):
+            self.host.cancel(attempt)
+        elif other is not None and self._send(now, request, other):
             self.moves -= self.tells_start
-        elif task.open and self.tells_start and not any(a.out and a.started_at for a in task.assignments):
-            left = task.due - now - task.cost / executor.speed
+        elif (
+            request.is_open
+            and self.tells_start
+            and not any(a.is_in_flight and a.started_at for a in request.attempts)
+        ):
+            left = request.objective_at - now - request.cost / executor.speed
             if left > self.tick:
-                self.host.set_timer(now + left, self.overdue, assignment)
+                self.host.set_timer(now + left, self.attempt_overdue, attempt)
             else:
-                self._give_up(now, task)
+                self._give_up(now, request)
 
-    def started(self, now: float, assignment: Assignment) -> None:
-        assignment.started_at, assignment.executor.strikes = now, 0
-        self._lagged(now, assignment)
-        for other in assignment.task.assignments:
-            if other is not assignment and other.out and self.may_cancel and not other.started_at:
+    def attempt_started(self, now: float, attempt: Attempt) -> None:
+        attempt.started_at, attempt.executor.strikes = now, 0
+        self._lagged(now, attempt)
+        for other in attempt.request.attempts:
+            if other is not attempt and other.is_in_flight and self.may_cancel and not other.started_at:
                 self.host.cancel(other)
 
-    def _lagged(self, now: float, assignment: Assignment) -> None:
+    def _lagged(self, now: float, attempt: Attempt) -> None:
         """Where starts are told, their delay shows the others' queue fresher than any report does."""
-        by, executor = now - assignment.sent - assignment.wait, assignment.executor
+        by, executor = now - attempt.sent_at - attempt.wait, attempt.executor
         zone, common = executor.zone, executor.zone.lag_now(now)  # else one short of executors spoils all
         executor.lag = max(executor.lag_now(now, common) + LAG_WEIGHT * by, 0.0)
         zone.lag, zone.lag_at, executor.lag_at = max(common + COMMON_WEIGHT * by, 0.0), now, now
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
-        assignment: Assignment,
+        attempt: Attempt,
         how: Outcome,
         took: float,
         complete: bool,
         report: dict[str, float] | None,
     ) -> None:
-        task, executor = assignment.task, assignment.executor
-        assignment.out, task.still_out, executor.held = False, task.still_out - 1, executor.held - task.slots
-        executor.work = executor.work - assignment.estimate if executor.held else 0.0
-        assignment.may_have_run = how not in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
-        self._judge(now, assignment, how, took)
+        request, executor = attempt.request, attempt.executor
+        attempt.is_in_flight, request.in_flight, executor.held = (
+            False,
+            request.in_flight - 1,
+            executor.held - request.slots,
+        )
+        executor.work = executor.work - attempt.estimate if executor.held else 0.0
+        attempt.may_have_run = how not in (Outcome.AT_CAPACITY, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+        self._judge(now, attempt, how, took)
         if report:
             executor.report(now, report, self.part)
         if complete:
-            self.withdrawn(now, task)
-        elif now >= task.expiry or task.bound:
-            self._give_up(now, task)
-        elif task.open and (not task.still_out or how is not Outcome.CANCELLED):
-            self._place(now, task)
+            self.request_withdrawn(now, request)
+        elif now >= request.deadline or request.bound:
+            self._give_up(now, request)
+        elif request.is_open and (not request.in_flight or how is not Outcome.CANCELLED):
+            self._place(now, request)
 
-    def _judge(self, now: float, assignment: Assignment, how: Outcome, took: float) -> None:
+    def _judge(self, now: float, attempt: Attempt, how: Outcome, took: float) -> None:
         """What an outcome says of its executor."""
-        executor, zone = assignment.executor, assignment.executor.zone
-        if how in (Outcome.FINISHED, Outcome.ERROR, Outcome.FULL, Outcome.UNFIT):
+        executor, zone = attempt.executor, attempt.executor.zone
+        if how in (Outcome.COMPLETED, Outcome.ERROR, Outcome.AT_CAPACITY, Outcome.INVALID):
             executor.idle += 1  # other ends close the connection
             zone.missed.clear()
-        elif how is Outcome.NO_CONNECTION and zone is not self.zone:
+        elif how is Outcome.CONNECT_FAILED and zone is not self.zone:
             zone.missed += [executor] if executor not in zone.missed else []
             if len(zone.missed) >= MISSED:
                 zone.away_until = max(now + AWAY * (1.0 + self._chance()), zone.away_until)
-        if how is Outcome.FINISHED:
+        if how is Outcome.COMPLETED:
             executor.errors -= FAULTS[Outcome.ERROR] * executor.errors
             executor.strikes, executor.on_trial = 0, False
-            if assignment.started_at:
-                took = now - assignment.started_at
-            elif assignment.wait:
+            if attempt.started_at:
+                took = now - attempt.started_at
+            elif attempt.wait:
                 return  # time in a queue is not slowness: such samples made all look slow, and none in time
             took = max(took, self.tick)
             if executor.cold_until > now:
                 took *= self._warmth(now, executor)  # else its coldness would count twice
             seen = self.kinds[executor.kind]
             seen.met, seen.slots = seen.met + 1, max(seen.slots, executor.slots)
-            seen.speed *= (assignment.task.cost / took / seen.speed) ** max(1.0 / (seen.met + 1), KIND_WEIGHT)
-            executor.learn(assignment.task.cost, took, WEIGHT)
-            assignment.task.offering.learn(assignment.task.hint, took * executor.speed)
-        elif how is Outcome.FULL:
+            seen.speed *= (attempt.request.cost / took / seen.speed) ** max(1.0 / (seen.met + 1), KIND_WEIGHT)
+            executor.learn(attempt.request.cost, took, WEIGHT)
+            attempt.request.request_class.learn(attempt.request.hint, took * executor.speed)
+        elif how is Outcome.AT_CAPACITY:
             executor.full_until = now + FULL_PAUSE
         elif how in FAULTS:
             executor.errors += FAULTS[how] * (1.0 - executor.errors)
             if how is Outcome.ERROR and self.warns:
-                self.host.warn_peers(executor)
+                self.host.gossip_failure(executor)
                 executor.warned_at = now
-            if executor.errors > ERROR_LIMIT or how is Outcome.NO_CONNECTION or executor.on_trial:
-                self._set_aside(now, executor, how is Outcome.NO_CONNECTION)
+            if executor.errors > ERROR_LIMIT or how is Outcome.CONNECT_FAILED or executor.on_trial:
+                self._set_aside(now, executor, how is Outcome.CONNECT_FAILED)
 
     def _set_aside(self, now: float, executor: Executor, unreachable: bool = False) -> None:
         """Spare a bad executor for a while, but not so many that the rest tip over, unless out of reach."""
@@ -673,34 +732,44 @@
         executor.away_until = now + AWAY * (1.0 + self._chance())
         executor.on_trial, executor.strikes, executor.errors = True, 0, 0.0
 
-    def withdrawn(self, now: float, task: Task) -> None:
+    def request_withdrawn(self, now: float, request: Request) -> None:
         """The client left, or has its answer: nothing is owed, and what waits for a slot need not run."""
-        out, task.open = [a for a in task.assignments if a.out and task.open and self.may_cancel], False
-        for assignment in out:
-            self.host.cancel(assignment)
+        out, request.is_open = (
+            [a for a in request.attempts if a.is_in_flight and request.is_open and self.may_cancel],
+            False,
+        )
+        for attempt in out:
+            self.host.cancel(attempt)
 
-    def _give_up(self, now: float, task: Task) -> None:
+    def _give_up(self, now: float, request: Request) -> None:
         """The one place of final answers: a bounce where a retry is sure to be harmless, else abandoned."""
-        if not task.open:
+        if not request.is_open:
             return
-        self.withdrawn(now, task)
+        self.request_withdrawn(now, request)
         self.moves = 0.0  # where tasks are turned away there is no room that moves could find
-        ran = any(a.may_have_run and self.host.begun(a) for a in task.assignments)
-        effect, group = task.offering.effect, task.offering.group
-        if not ran or effect is Effect.IDEMPOTENT or (effect, group) == (Effect.FINGERPRINTED, Group.ALL):
-            wait = min((self._wait(now, e, task.slots) for e in self._looked_at()), default=AWAY)
-            self.host.bounce(task, min(max(wait, self.tick), self.longest_advice))
+        ran = any(a.may_have_run and self.host.may_have_reached(a) for a in request.attempts)
+        idempotency, deduplication_scope = (
+            request.request_class.idempotency,
+            request.request_class.deduplication_scope,
+        )
+        if (
+            not ran
+            or idempotency is Idempotency.IDEMPOTENT
+            or (idempotency, deduplication_scope) == (Idempotency.KEYED, DeduplicationScope.ALL)
+        ):
+            wait = min((self._wait(now, e, request.slots) for e in self._looked_at()), default=AWAY)
+            self.host.reject(request, min(max(wait, self.tick), self.max_retry_after))
         else:
-            self.host.abandon(task)
+            self.host.fail(request)
 
-    def probed(
+    def health_check_ended(
         self, now: float, executor: Executor, how: Outcome, took: float, report: dict[str, float] | None
     ) -> None:
-        if how is Outcome.FINISHED and report:
+        if how is Outcome.COMPLETED and report:
             executor.report(now, report, self.part)
-        elif how not in (Outcome.FINISHED, Outcome.FULL):
+        elif how not in (Outcome.COMPLETED, Outcome.AT_CAPACITY):
             executor.strikes += 1
-            if executor.strikes >= STRIKES or how is Outcome.NO_CONNECTION:
+            if executor.strikes >= STRIKES or how is Outcome.CONNECT_FAILED:
                 self._set_aside(now, executor)
 
     def _round(self, now: float, _: None) -> None:
@@ -729,6 +798,6 @@
             self._probe()
         self.host.set_timer(now + PROBE_EVERY, self._round, None)
 
-    def peer_warned(self, now: float, executor: Executor) -> None:
+    def peer_reported_failure(self, now: float, executor: Executor) -> None:
         """It is the last for what cannot be repeated. Others may try it: an error at once costs little."""
         executor.warned_at = now
--- a/firwalk/wirehost/__main__.py
+++ b/firwalk/wirehost/__main__.py
@@ -12,9 +12,9 @@
 
 import orjson
 
-from firwalk.config.node_config import MICRO, REPORT_WORDS, build_node
+from firwalk.config.node_config import LOAD_REPORT_FIELDS, MICRO, build_policy
 from firwalk.dispatcher import failure_gossip
-from firwalk.policy.interface import Condition
+from firwalk.policy.interface import EndpointState
 from firwalk.wirehost import codec as c
 
 LONGEST = 0xFFFFFFFF
@@ -29,40 +29,40 @@
 
     def __init__(self, number: int, seed: int, settings: dict, now: float, out: list[bytes]):
         self.number, self.out = number, out
-        self.tasks: dict[int, object] = {}
+        self.requests: dict[int, object] = {}
         self.executors: dict[bytes, object] = {}
         self.timers: dict[int, tuple] = {}
         self.label = 0
-        self.marks = failure_gossip.Marks()
-        self.names = [REPORT_WORDS.get(n, n) for n in settings.get("load-report", {}).get("names", [])]
-        self.node = build_node(self, seed, settings, now)
+        self.marks = failure_gossip.ExecutorIndex()
+        self.names = [LOAD_REPORT_FIELDS.get(n, n) for n in settings.get("load-report", {}).get("names", [])]
+        self.node = build_policy(self, seed, settings, now)
 
     # -- the host's side: what the node asks for -------------------------------------------------------
 
-    def send(self, task, executor, limit):
-        self.out.append(c.HAND_OFF.pack(c.DO_HAND_OFF, self.number, task.ref, executor.ref, _us(limit)))
+    def send(self, request, executor, limit):
+        self.out.append(c.HAND_OFF.pack(c.DO_HAND_OFF, self.number, request.ref, executor.ref, _us(limit)))
 
-    def terms(self, task):
+    def admission_weight(self, request):
         return 1.0  # each node by itself
 
-    def bounce(self, task, wait):
-        self.out.append(c.OVERLOAD_REPLY.pack(c.DO_OVERLOAD_REPLY, self.number, task.ref, _us(wait)))
-        self._forget(task)
+    def reject(self, request, wait):
+        self.out.append(c.OVERLOAD_REPLY.pack(c.DO_OVERLOAD_REPLY, self.number, request.ref, _us(wait)))
+        self._forget(request)
 
-    def abandon(self, task):
-        self.out.append(c.GIVE_UP.pack(c.DO_GIVE_UP, self.number, task.ref))
-        self._forget(task)
+    def fail(self, request):
+        self.out.append(c.GIVE_UP.pack(c.DO_GIVE_UP, self.number, request.ref))
+        self._forget(request)
 
-    def cancel(self, assignment):
-        self.out.append(c.CALL_OFF.pack(c.DO_CALL_OFF, self.number, assignment.task.ref, assignment.number))
+    def cancel(self, attempt):
+        self.out.append(c.CALL_OFF.pack(c.DO_CALL_OFF, self.number, attempt.request.ref, attempt.number))
 
-    def probe(self, executor):
+    def check_health(self, executor):
         self.out.append(c.PING.pack(c.DO_PING, self.number, executor.ref))
 
-    def begun(self, assignment):
+    def may_have_reached(self, attempt):
         return True  # the wire does not tell
 
-    def close_idle(self, executor):
+    def close_idle_connections(self, executor):
         self.out.append(c.PING.pack(c.DO_SHUT_IDLE, self.number, executor.ref))
 
     def set_timer(self, when, act, about):
@@ -70,14 +70,14 @@
         self.timers[self.label] = (act, about)
         self.out.append(c.DEFER.pack(c.DO_DEFER, self.number, int(when * 1e6) + 1, self.label))
 
-    def warn_peers(self, executor):
-        content = failure_gossip.mark_of(executor.ref)
+    def gossip_failure(self, executor):
+        content = failure_gossip.executor_checksum(executor.ref)
         self.out.append(c.ANNOUNCE.pack(c.DO_ANNOUNCE, self.number, c.EVERY_PEER, len(content)) + content)
 
-    def watch(self, on):
+    def watch_endpoints(self, on):
         self.out.append(c.WATCH.pack(c.DO_WATCH, self.number, on))
 
-    def ask_list(self):
+    def fetch_endpoints(self):
         self.out.append(c.QUERY_ALL.pack(c.DO_QUERY_ALL, self.number))
 
     def note(self, line):
@@ -86,12 +86,12 @@
 
     # -- the wire's side: what has happened ------------------------------------------------------------
 
-    def _forget(self, task):
-        if not task.still_out:
-            self.tasks.pop(task.ref, None)
+    def _forget(self, request):
+        if not request.in_flight:
+            self.requests.pop(request.ref, None)
 
     def item(self, now, xid, band, account, entity, budget, cost, slots, memory, attrs):
-        task = self.node.task_arrived(
+        request = self.node.request_arrived(
             now,
             xid,
             band,
@@ -103,25 +103,27 @@
             bool(attrs & 2),
             b"%d" % entity if entity else b"",
         )
-        if task.open or task.still_out:
-            self.tasks[xid] = task
+        if request.is_open or request.in_flight:
+            self.requests[xid] = request
 
     def response(self, now, xid, executor, taken, family, complete, trial, how, report):
-        task = self.tasks[xid]
-        self.node.ended(now, task.assignments[trial], c.OUTCOMES[how], taken * MICRO, complete, report)
-        if not task.open:
-            self._forget(task)
+        request = self.requests[xid]
+        self.node.attempt_ended(
+            now, request.attempts[trial], c.OUTCOMES[how], taken * MICRO, complete, report
+        )
+        if not request.is_open:
+            self._forget(request)
 
     def dropped(self, now, xid):
-        task = self.tasks.get(xid)
-        if task is not None:
-            self.node.withdrawn(now, task)
-            self._forget(task)
+        request = self.requests.get(xid)
+        if request is not None:
+            self.node.request_withdrawn(now, request)
+            self._forget(request)
 
     def targets(self, now, scope, entries):
         node, known = self.node, self.executors
         if scope == 3:
-            node.list_broken(now)
+            node.endpoint_list_failed(now)
             return
         named = {}
         for kind, zone, condition, size, address, came_up, cell in entries:
@@ -130,12 +132,12 @@
                 executor = known[address] = node.new_executor(address, kind, zone, cell, size, crc32(address))
                 self.marks.add(address, executor)
             named[address] = executor
-            node.heard(now, executor, c.CONDITIONS[condition], came_up * MICRO)
+            node.endpoint_changed(now, executor, c.CONDITIONS[condition], came_up * MICRO)
         if scope:
             for address, executor in known.items():
                 if address not in named:
-                    node.heard(now, executor, Condition.GONE, executor.came_up)
-        node.list_heard(now)
+                    node.endpoint_changed(now, executor, EndpointState.REMOVED, executor.came_up)
+        node.endpoint_list_received(now)
 
     def report(self, values):
         return dict(zip(self.names, values, strict=False)) if values else None
@@ -239,25 +241,27 @@
             values = c.FLOATS[f[8]].unpack(content) if f[8] else None
             one.response(now, *f[1:8], one.report(values))
         elif code == c.HINT:
-            task = one.tasks.get(f[1])
-            if task is not None:
+            request = one.requests.get(f[1])
+            if request is not None:
                 if f[4] == 1:
-                    one.node.started(now, task.assignments[f[5]])
+                    one.node.attempt_started(now, request.attempts[f[5]])
                 elif f[4] == 2:
-                    task.assignments[f[5]].executor.strikes = 0  # it works
+                    request.attempts[f[5]].executor.strikes = 0  # it works
         elif code == c.PINGED:
             values = c.FLOATS[f[4]].unpack(content) if f[4] else None
-            one.node.probed(now, one.executors[f[1]], c.OUTCOMES[f[2]], f[3] * MICRO, one.report(values))
+            one.node.health_check_ended(
+                now, one.executors[f[1]], c.OUTCOMES[f[2]], f[3] * MICRO, one.report(values)
+            )
         elif code == c.TARGETS:
             one.targets(now, f[1], () if f[1] == 3 else self.lists[f[3]])
         elif code == c.DROPPED:
             one.dropped(now, f[1])
         elif code == c.ESTABLISHED:
-            one.tasks[f[1]].assignments[f[2]].task.bound = True
+            one.requests[f[1]].attempts[f[2]].request.bound = True
         elif code == c.SAID:
             executor = one.marks.find(content)
             if executor is not None:
-                one.node.peer_warned(now, executor)
+                one.node.peer_reported_failure(now, executor)
 
 
 def main() -> int:
--- a/firwalk/wirehost/codec.py
+++ b/firwalk/wirehost/codec.py
@@ -8,7 +8,7 @@
 
 from struct import Struct
 
-from firwalk.policy.interface import Condition, Outcome
+from firwalk.policy.interface import EndpointState, Outcome
 
 BATCH = Struct("<IIIQ")  # number, size of what follows the size field, records, clock
 REPLY = Struct("<III")
@@ -50,16 +50,16 @@
 EVERY_PEER = 0xFFFF
 
 OUTCOMES = {
-    0: Outcome.FINISHED,
+    0: Outcome.COMPLETED,
     13: Outcome.ERROR,
-    8: Outcome.FULL,
+    8: Outcome.AT_CAPACITY,
     4: Outcome.TIMED_OUT,
-    14: Outcome.NO_CONNECTION,
-    10: Outcome.BROKEN,
+    14: Outcome.CONNECT_FAILED,
+    10: Outcome.CONNECTION_LOST,
     1: Outcome.CANCELLED,
     9: Outcome.NOT_SENT,
 }
-CONDITIONS = {0: Condition.GONE, 1: Condition.READY, 2: Condition.DRAINING}
+CONDITIONS = {0: EndpointState.REMOVED, 1: EndpointState.READY, 2: EndpointState.DRAINING}
 
 
 class Malformed(Exception):
--- a/tests/agent/test_keeper.py
+++ b/tests/agent/test_keeper.py
@@ -6,8 +6,17 @@
 import pytest
 
 from firwalk.agent import supervisor as keeper_module
-from firwalk.agent.host_processes import State, _order
-from firwalk.agent.supervisor import CONFIRM, END, FALSE_CHECKS, HANG, READY, Keeper, Kept, Order
+from firwalk.agent.host_processes import StoredState, _order
+from firwalk.agent.supervisor import (
+    CONFIRM,
+    END,
+    FALSE_CHECKS,
+    HANG,
+    READY,
+    RolloutOrder,
+    Supervisor,
+    SupervisorState,
+)
 
 
 class Machine:
@@ -16,8 +25,8 @@
     def __init__(self, kept=None, releases=("v1", "v2"), hears=True):
         self.acts, self.releases, self.hears, self.pid, self.now = [], releases, hears, 100, 100.0
         self.unfit = ""
-        self.kept = kept or Kept("v1", "s1")
-        self.keeper = Keeper(self, self.kept)
+        self.kept = kept or SupervisorState("v1", "s1")
+        self.keeper = Supervisor(self, self.kept)
         self.keeper.begun(self.now)
 
     def start(self, release, slot):
@@ -41,12 +50,12 @@
             self.keeper.told(self.now, number)
 
     def keep(self, kept):
-        self.text = msgspec.json.encode(State(kept, {}))
+        self.text = msgspec.json.encode(StoredState(kept, {}))
 
     @property
     def written(self):
         """As an agent that begins anew reads it."""
-        return msgspec.json.decode(self.text, type=State).kept
+        return msgspec.json.decode(self.text, type=StoredState).kept
 
     def event(self, what, **about):
         pass
@@ -59,7 +68,7 @@
 
     def wants(self, what, number=7, kind="release", trial=True, child=None, tag="s1"):
         child = child or self.kept.serving
-        self.keeper.wanted(self.now, child, Order(number, kind, what, trial), tag)
+        self.keeper.wanted(self.now, child, RolloutOrder(number, kind, what, trial), tag)
 
     def after(self, seconds, alive=()):
         self.now += seconds
@@ -307,11 +316,11 @@
     [
         ("hold", None),
         ("nothing", None),
-        ("7 release v2 going", Order(7, "release", "v2", True)),
-        ("7 release v1 back", Order(7, "release", "v1", False)),
+        ("7 release v2 going", RolloutOrder(7, "release", "v2", True)),
+        ("7 release v1 back", RolloutOrder(7, "release", "v1", False)),
         ("x release v1 back", None),
         ("7 release ../v1 going", None),
-        ("8 settings s2 held", Order(8, "settings", "s2", True)),
+        ("8 settings s2 held", RolloutOrder(8, "settings", "s2", True)),
     ],
 )
 def test_what_a_node_says_is_read(text, order):
@@ -322,25 +331,27 @@
 
 
 def ends_the_old_one_when_the_new_one_is_ready(patch):
-    real = Keeper.answered
+    real = Supervisor.answered
 
     def answered(self, now, child, ready):
         real(self, now, child, ready)
         if ready and child is self.kept.coming:
             self._confirmed(now, child)
 
-    patch.setattr(Keeper, "answered", answered)
+    patch.setattr(Supervisor, "answered", answered)
 
 
 def tries_a_failed_version_again(patch):
-    patch.setattr(Keeper, "_failed", lambda self, now, number, why: None)
+    patch.setattr(Supervisor, "_failed", lambda self, now, number, why: None)
 
 
 def writes_nothing_down(patch):
     patch.setattr(
         Machine,
         "keep",
-        lambda self, kept: setattr(self, "text", msgspec.json.encode(State(Kept("v1", "s1"), {}))),
+        lambda self, kept: setattr(
+            self, "text", msgspec.json.encode(StoredState(SupervisorState("v1", "s1"), {}))
+        ),
     )
 
 
--- a/tests/agent/test_machine.py
+++ b/tests/agent/test_machine.py
@@ -11,14 +11,14 @@
 import pytest
 
 from firwalk.agent import host_processes as machine_module
-from firwalk.agent.host_processes import STATE, Machine, Settings
-from firwalk.agent.supervisor import Child
+from firwalk.agent.host_processes import STATE, AgentConfig, HostProcesses
+from firwalk.agent.supervisor import ChildProcess
 
 
 @pytest.fixture
 def settings(tmp_path):
     (tmp_path / "config.json").write_text('{"name": "n0"}')
-    return Settings(
+    return AgentConfig(
         str(tmp_path / "config.json"),
         str(tmp_path),
         "v1",
@@ -38,9 +38,9 @@
 
 def serving(settings, process):
     """An agent whose node that process is; it is in the file."""
-    made = Machine(settings)
+    made = HostProcesses(settings)
     made.processes[process.pid] = process
-    made.kept.serving = Child("v1", 0, pid=process.pid)
+    made.kept.serving = ChildProcess("v1", 0, pid=process.pid)
     made.keep(made.kept)
     return made
 
@@ -49,7 +49,7 @@
     serving(settings, child)
     real = psutil.Process.create_time
     monkeypatch.setattr(psutil.Process, "create_time", lambda process: real(process) + 3600.0)
-    assert list(Machine(settings).processes) == [child.pid]
+    assert list(HostProcesses(settings).processes) == [child.pid]
 
 
 def test_a_process_that_began_later_under_the_same_number_is_another_one(settings, child):
@@ -58,13 +58,13 @@
     state = orjson.loads(path.read_bytes())
     state["created"] = {str(child.pid): state["created"][str(child.pid)] - 5.0}
     path.write_bytes(orjson.dumps(state))
-    assert not Machine(settings).processes
+    assert not HostProcesses(settings).processes
 
 
 def test_processes_of_another_boot_are_other_ones(settings, child, monkeypatch):
     serving(settings, child)
     monkeypatch.setattr(machine_module, "boot_id", lambda: "another")
-    assert not Machine(settings).processes
+    assert not HostProcesses(settings).processes
 
 
 def test_what_an_agent_before_wrote_by_the_wall_clock_is_understood(settings, child):
@@ -74,7 +74,7 @@
     state["created"] = {str(child.pid): child.create_time()}
     del state["boot"]
     path.write_bytes(orjson.dumps(state))
-    assert list(Machine(settings).processes) == [child.pid]
+    assert list(HostProcesses(settings).processes) == [child.pid]
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS])
@@ -91,8 +91,10 @@
     monkeypatch.setattr(Path, "write_bytes", write_bytes)
     made.kept.release = "v2"
     made.keep(made.kept)
-    assert Machine(settings).kept.release == "v1"
+    assert HostProcesses(settings).kept.release == "v1"
     made.keep_again()
     full[0] = False
     made.keep_again()
-    assert Machine(settings).kept.release == "v2" and Machine(settings).kept.serving.pid == child.pid
+    assert (
+        HostProcesses(settings).kept.release == "v2" and HostProcesses(settings).kept.serving.pid == child.pid
+    )
