--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from firwalk.cluster import lease, plan
-from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.messages import NOBODY, Accept, Promise
 
 
@@ -11,7 +11,7 @@
     """Makes seats whose parts are changed by `change(seat)` before they start."""
 
     def make(*args, **named):
-        seat = Seat(*args, **named)
+        seat = ClusterMember(*args, **named)
         change(seat)
         return seat
 
@@ -63,7 +63,7 @@
     voter = seat.voter
 
     def propose_came(now, sender, message):
-        lease.Voter.propose_came(voter, now, sender, message)
+        lease.Acceptor.propose_came(voter, now, sender, message)
         if voter.accepted == message.ballot:
             voter.accepted_until = now + message.length / 2e3
 
@@ -77,7 +77,7 @@
 
     def accept_came(now, sender, message):
         candidate.began = now
-        lease.Candidate.accept_came(candidate, now, sender, message)
+        lease.Proposer.accept_came(candidate, now, sender, message)
 
     if candidate:
         candidate.accept_came = accept_came
@@ -99,8 +99,8 @@
 def candidate_passes_over_another_holder(seat):
     candidate = seat.candidate
 
-    def promise_came(now, sender, life, message):
-        lease.Candidate.promise_came(candidate, now, sender, life, Promise(message.ballot, None))
+    def promise_came(now, sender, generation, message):
+        lease.Proposer.promise_came(candidate, now, sender, generation, Promise(message.ballot, None))
 
     if candidate:
         candidate.promise_came = promise_came
@@ -117,7 +117,7 @@
 def follower_goes_back(seat):
     def take(now, stamp, text, since):
         seat.follower.stamp = plan.NONE
-        return plan.Follower.take(seat.follower, now, stamp, text, since)
+        return plan.PlanFollower.take(seat.follower, now, stamp, text, since)
 
     seat.follower.take = take
     seat.follower.piece_came = lambda now, piece: _any_piece(seat.follower, now, piece)
@@ -126,7 +126,7 @@
 def _any_piece(follower, now, piece):
     parts = follower.parts
     if parts is None or parts.stamp != (piece.term, piece.version):
-        follower.parts = plan.Parts(piece)
+        follower.parts = plan.PlanAssembly(piece)
     follower.parts.add(piece)
     text = follower.parts.whole()
     if text is not None:
@@ -142,7 +142,7 @@
         sections = msgspec.json.decode(text)
         for name in [name for name in sections if name in follower.sections][1:]:
             sections[name] = follower.sections[name]
-        return plan.Follower.take(
+        return plan.PlanFollower.take(
             follower, now, stamp, msgspec.json.encode(sections, order="deterministic"), since
         )
 
@@ -156,7 +156,7 @@
 
     def piece_came(now, piece):
         old = follower.parts.got if follower.parts is not None else {}
-        parts = follower.parts = plan.Parts(piece)
+        parts = follower.parts = plan.PlanAssembly(piece)
         parts.got = {number: data for number, data in old.items() if number < piece.count}
         parts.add(piece)
         if len(parts.got) == piece.count:
@@ -172,7 +172,7 @@
     writer = seat.writer
 
     def set_(now, name, section):
-        done = plan.Writer.set(writer, now, name, section)
+        done = plan.PlanPublisher.set(writer, now, name, section)
         if done and writer.version > 1:
             writer.version -= 1
         return done
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -9,8 +9,8 @@
 from firwalk.broker.contracts import Contracts, Team
 from firwalk.broker.ledger import Account, Ledger, Reservation
 from firwalk.cluster import quota_accounting, quotas
-from firwalk.cluster.messages import Answer, Grant, Piece, Prepare, Propose, Want
-from firwalk.cluster.quotas import Dealer, Offer, Terms
+from firwalk.cluster.messages import Answer, Piece, Prepare, Propose, QuotaGrant, QuotaRequest
+from firwalk.cluster.quotas import ContractSet, QuotaAllocator, QuotaPolicy
 from firwalk.lab import purses
 from firwalk.lab.virtual import Schedule
 
@@ -43,13 +43,13 @@
 
 
 def part_outlives_its_lease(patch):
-    init = quotas.Holder.__init__
+    init = quotas.QuotaClient.__init__
 
     def longer(self, *args):
         init(self, *args)
         self.good *= 1.6
 
-    patch.setattr(quotas.Holder, "__init__", longer)
+    patch.setattr(quotas.QuotaClient, "__init__", longer)
 
 
 def double_refund(patch):
@@ -62,24 +62,24 @@
 
 def half_of_the_seats_are_enough(patch):
     """A new coordinator deals anew as soon as half of the seats have told what they have."""
-    heard = Dealer._heard
+    heard = QuotaAllocator._heard
 
-    def soon(self, seat, life, got):
-        heard(self, seat, life, got)
+    def soon(self, seat, generation, got):
+        heard(self, seat, generation, got)
         if 2 * len(self.told) >= len(self.seats()):
             self.renews_until = 0.0
 
-    patch.setattr(Dealer, "_heard", soon)
+    patch.setattr(QuotaAllocator, "_heard", soon)
 
 
 def coordinator_forgets_what_was_granted_before(patch):
-    init = Dealer.__init__
+    init = QuotaAllocator.__init__
 
     def at_once(self, now, *about):
         init(self, now, *about)
         self.renews_until = now
 
-    patch.setattr(Dealer, "__init__", at_once)
+    patch.setattr(QuotaAllocator, "__init__", at_once)
 
 
 def answers_that_were_lost_count_no_more(patch):
@@ -97,14 +97,14 @@
 
 
 def time_counts_from_the_answer(patch):
-    came = quotas.Holder.grant_came
+    came = quotas.QuotaClient.grant_came
 
     def from_now(self, now, sender, got):
         if got.mark in self.marks:
             self.marks[got.mark] = now
         came(self, now, sender, got)
 
-    patch.setattr(quotas.Holder, "grant_came", from_now)
+    patch.setattr(quotas.QuotaClient, "grant_came", from_now)
 
 
 MUTANTS = [
@@ -134,25 +134,25 @@
 
 
 def both_wholes_are_let_out(patch):
-    take = Dealer._take
+    take = QuotaAllocator._take
 
     def summed(self, offer, beside):
         take(self, offer, beside)
         sides = [dict(zip(one.names, one.wholes, strict=True)) for one in self.sides.values()]
         self.wholes = {name: sum(side.get(name, 0) for side in sides) for name in self.wholes}
 
-    patch.setattr(Dealer, "_take", summed)
+    patch.setattr(QuotaAllocator, "_take", summed)
 
 
 def a_change_forgets_what_is_out(patch):
-    changed = Dealer.changed
+    changed = QuotaAllocator.changed
 
     def forgets(self, now, *about):
         self.books = {}
         changed(self, now, *about)
         self.renews_until = 0.0
 
-    patch.setattr(Dealer, "changed", forgets)
+    patch.setattr(QuotaAllocator, "changed", forgets)
 
 
 @pytest.mark.parametrize("mutant", [both_wholes_are_let_out, a_change_forgets_what_is_out])
@@ -162,18 +162,24 @@
 
 
 def offer(version, **wholes):
-    return Offer(version, version, tuple(wholes), tuple(int(whole * MILLION) for whole in wholes.values()))
+    return ContractSet(
+        version, version, tuple(wholes), tuple(int(whole * MILLION) for whole in wholes.values())
+    )
 
 
 def dealt(dealer, now, node, check, team, mark=1, has=0.0, want=50.0):
     row = (team, int(want * MILLION), 0, int(has * MILLION))
-    return dealer.want_came(now, node, 1, Want(mark, check, 0, [row])).rows[0][1] / MILLION
+    return dealer.want_came(now, node, 1, QuotaRequest(mark, check, 0, [row])).rows[0][1] / MILLION
 
 
 def test_each_node_has_its_part_of_the_whole_of_its_own_contracts():
     """A budget that is ten times too small shows at the node on it alone."""
-    dealer = Dealer(
-        0.0, Terms(LENGTH), offer(1, south=1.0, north=10.0), lambda: [0, 1, 2], offer(2, north=1.0, east=3.0)
+    dealer = QuotaAllocator(
+        0.0,
+        QuotaPolicy(LENGTH),
+        offer(1, south=1.0, north=10.0),
+        lambda: [0, 1, 2],
+        offer(2, north=1.0, east=3.0),
     )
     at = LENGTH * 2
     for mark in (1, 2, 3):
@@ -181,14 +187,14 @@
     assert parts == pytest.approx([10 / 3, 10 / 3, 1 / 3], rel=1e-3)
     assert dealt(dealer, at, 2, 2, 1, 4) == pytest.approx(3.0, rel=1e-3)
     assert dealt(dealer, at, 0, 1, 0, 4) == pytest.approx(1.0, rel=1e-3)
-    assert dealer.want_came(at, 0, 1, Want(9, 3, 0, [(0, 5, 0, 0)])) is None
+    assert dealer.want_came(at, 0, 1, QuotaRequest(9, 3, 0, [(0, 5, 0, 0)])) is None
 
 
 def test_a_team_that_went_and_came_again_waits_though_contracts_changed_twice_within_a_lease():
     """Teams that wait were kept by their numbers, which the second change gave to others: a node that had
     missed both still had the team's part, and all of it was dealt once more."""
     at = LENGTH * 2
-    dealer = Dealer(0.0, Terms(LENGTH), offer(1, north=1.0, south=1.0), lambda: [0, 1])
+    dealer = QuotaAllocator(0.0, QuotaPolicy(LENGTH), offer(1, north=1.0, south=1.0), lambda: [0, 1])
     assert dealt(dealer, at, 0, 1, 1) == 1.0
     dealer.changed(at + 0.1, offer(2, west=1.0, north=1.0))
     dealer.changed(at + 0.2, offer(3, north=1.0, west=1.0, south=1.0))
@@ -216,7 +222,7 @@
     def sent(self, now, process, seat, message):
         if now < 3.0 or self.killed or not process.alive or not process.seat.coordinates(process.clock()):
             return
-        if isinstance(message, Grant | Answer | Piece | Prepare | Propose):
+        if isinstance(message, QuotaGrant | Answer | Piece | Prepare | Propose):
             self.left -= 1
             if not self.left:
                 self.killed = True
@@ -429,24 +435,30 @@
     """Nodes that ask one dealer, without a network."""
 
     def __init__(self, whole=10.0, grace=False):
-        self.dealer = Dealer(
-            0.0, Terms(LENGTH), Offer(1, 7, ("north",), (int(whole * MILLION),)), lambda: list(range(60))
+        self.dealer = QuotaAllocator(
+            0.0,
+            QuotaPolicy(LENGTH),
+            ContractSet(1, 7, ("north",), (int(whole * MILLION),)),
+            lambda: list(range(60)),
         )
         self.now, self.marks, self.has = 0.0 if grace else 10.0, {}, {}
 
-    def ask(self, node, want, life=1, lost=False):
-        key = node, life
+    def ask(self, node, want, generation=1, lost=False):
+        key = node, generation
         mark = self.marks[key] = self.marks.get(key, 0) + 1
         acts_on, part = self.has.get(key, (0, 0))
         got = self.dealer.want_came(
-            self.now, node, life, Want(mark, 7, 7, [(0, int(want * MILLION), mark - acts_on, part)])
+            self.now,
+            node,
+            generation,
+            QuotaRequest(mark, 7, 7, [(0, int(want * MILLION), mark - acts_on, part)]),
         )
         if got is not None and not lost:
             self.has[key] = mark, got.rows[0][1]
-        return self.part(node, life)
+        return self.part(node, generation)
 
-    def part(self, node, life=1):
-        return self.has.get((node, life), (0, 0))[1] / MILLION
+    def part(self, node, generation=1):
+        return self.has.get((node, generation), (0, 0))[1] / MILLION
 
 
 def test_the_whole_is_divided_by_wants_and_not_far_above_them():
@@ -496,10 +508,10 @@
 def test_another_life_waits_for_what_the_one_before_had_and_one_that_ends_hands_it_back():
     nodes = Nodes()
     nodes.ask(0, 100.0)
-    assert nodes.ask(0, 100.0, life=2) == 0.0
+    assert nodes.ask(0, 100.0, generation=2) == 0.0
     mark = nodes.marks[0, 1] + 1
-    assert nodes.dealer.want_came(nodes.now, 0, 1, Want(mark, 7, 7, [(0, 0, 0, 0)])) is None
-    assert nodes.ask(0, 100.0, life=2) == 10.0
+    assert nodes.dealer.want_came(nodes.now, 0, 1, QuotaRequest(mark, 7, 7, [(0, 0, 0, 0)])) is None
+    assert nodes.ask(0, 100.0, generation=2) == 10.0
 
 
 def test_a_new_coordinator_renews_what_nodes_have_and_gives_nothing_new_for_one_length():
@@ -517,7 +529,7 @@
     nodes.has[0, 1], nodes.marks[0, 1] = (1, 4 * MILLION), 1
 
     def tells(node, first, last, rows, mark):
-        return nodes.dealer.want_came(0.1, node, 1, Want(mark, 7, 7, rows, first, last))
+        return nodes.dealer.want_came(0.1, node, 1, QuotaRequest(mark, 7, 7, rows, first, last))
 
     tells(0, 2, 2, [(0, 100 * MILLION, 1, 4 * MILLION)], 2)
     tells(1, 1, 1, [], 1)
@@ -532,7 +544,7 @@
 def test_a_whole_that_got_smaller_waits_out_what_is_out():
     nodes = Nodes()
     nodes.ask(0, 100.0)
-    nodes.dealer.changed(nodes.now, Offer(2, 7, ("north",), (3 * MILLION,)))
+    nodes.dealer.changed(nodes.now, ContractSet(2, 7, ("north",), (3 * MILLION,)))
     assert nodes.ask(1, 100.0) == 0.0 and nodes.ask(0, 100.0) <= 3.0
     nodes.ask(0, 100.0)
     assert nodes.ask(1, 100.0) + nodes.part(0) <= 3.0
@@ -541,7 +553,7 @@
 def test_a_question_that_was_doubled_or_overtaken_gets_no_answer():
     nodes = Nodes()
     nodes.ask(0, 1.0)
-    assert nodes.dealer.want_came(nodes.now, 0, 1, Want(1, 7, 7, [(0, MILLION, 1, 0)])) is None
+    assert nodes.dealer.want_came(nodes.now, 0, 1, QuotaRequest(1, 7, 7, [(0, MILLION, 1, 0)])) is None
 
 
 class Asked:
@@ -549,7 +561,7 @@
 
     def __init__(self):
         self.told, self.office, self.account = [], (1, 0, 5), account()
-        self.holder = quotas.Holder(self, Terms(LENGTH), lambda: self.office)
+        self.holder = quotas.QuotaClient(self, QuotaPolicy(LENGTH), lambda: self.office)
         self.holder.purses = lambda: [self.account]
         self.holder.changed(7, {})
         self.account.wanted(0.0, 3.0)
@@ -561,7 +573,7 @@
         pass
 
     def grants(self, now, mark, part=MILLION, sender=0):
-        self.holder.grant_came(now, sender, quotas.Grant(mark, 7, int(LENGTH * 1e3), [(0, part)]))
+        self.holder.grant_came(now, sender, quotas.QuotaGrant(mark, 7, int(LENGTH * 1e3), [(0, part)]))
         return self.account.holds(now)
 
 
@@ -588,14 +600,14 @@
 def older_answers(holder, now, sender, got):
     """A broken holder: takes whatever arrives last."""
     holder.acts_on = {}
-    return quotas.Holder.grant_came(holder, now, sender, got)
+    return quotas.QuotaClient.grant_came(holder, now, sender, got)
 
 
 def test_a_holder_that_takes_whatever_arrives_last_is_told_apart(asked):
     asked.account.wanted(1.0, 3.0)
     asked.holder.ask(1.2)
     assert asked.grants(1.3, 2, 5) == 5
-    older_answers(asked.holder, 1.3, 0, quotas.Grant(1, 7, int(LENGTH * 1e3), [(0, MILLION)]))
+    older_answers(asked.holder, 1.3, 0, quotas.QuotaGrant(1, 7, int(LENGTH * 1e3), [(0, MILLION)]))
     assert asked.account.holds(1.3) != 5
 
 
--- a/tests/cluster/test_fleet_virtual.py
+++ b/tests/cluster/test_fleet_virtual.py
@@ -5,7 +5,7 @@
 from runs import fault, scenario
 
 from firwalk.cluster import plan_enforcement, zones
-from firwalk.cluster.cluster_member import Seat
+from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.zones import Zones
 from firwalk.lab.fleet import Fleet
 from firwalk.lab.fleets import SETTLE, Shown, Spell, lines, misfits, scaled, shown
@@ -125,7 +125,7 @@
     told, _ = load("zone-tight")
     told = scaled(replace(told, run=replace(told.run, seconds=9.0)), 40)
     decided, spread = follows(told)
-    monkeypatch.setattr(Seat, "tell_early", lambda self: None)
+    monkeypatch.setattr(ClusterMember, "tell_early", lambda self: None)
     later, _ = follows(told)
     monkeypatch.setattr(Zones, "alarmed", lambda self, seat: False)
     late, slow = follows(told, in_turn=True)
@@ -174,7 +174,7 @@
     told = day(fault(4.0, "cut", "executors:c", 7.0, to="nodes"), load=1.3)
     (low, lows), (high, highs) = turned_away(told, 1)
     assert low / lows > 0.1 and high / highs < 0.02
-    monkeypatch.setattr(plan_enforcement.Mix, "turned_away", lambda self, part, importance: part)
+    monkeypatch.setattr(plan_enforcement.PriorityMix, "turned_away", lambda self, part, importance: part)
     (low, lows), (high, highs) = turned_away(told, 1)
     assert high / highs >= 0.02
 
--- a/tests/cluster/test_lease.py
+++ b/tests/cluster/test_lease.py
@@ -5,8 +5,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from firwalk.cluster import messages as m
-from firwalk.cluster.lease import Candidate, Voter
-from firwalk.cluster.random_source import Chance
+from firwalk.cluster.lease import Acceptor, Proposer
+from firwalk.cluster.random_source import RandomSource
 
 LENGTH, DRIFT = 2.0, 0.01
 
@@ -27,9 +27,9 @@
         self.events.append((what, about))
 
 
-def voter(life=5, started=-10.0):
+def voter(generation=5, started=-10.0):
     box = Box()
-    return Voter(box, life, started, length=LENGTH, drift=DRIFT), box
+    return Acceptor(box, generation, started, length=LENGTH, drift=DRIFT), box
 
 
 def test_a_voter_grants_nothing_until_what_it_may_have_granted_is_over():
@@ -41,9 +41,9 @@
 
 
 def test_a_promise_of_a_life_before_counts_for_nothing():
-    one, box = voter(life=5)
+    one, box = voter(generation=5)
     one.prepare_came(0.0, 1, (3, 1, 1))
-    again, box = voter(life=6)
+    again, box = voter(generation=6)
     again.propose_came(0.0, 1, m.Propose((3, 1, 1), 2000, 5))
     assert isinstance(box.sent[-1][1], m.Refuse) and again.holder(0.1) is None
 
@@ -77,7 +77,7 @@
 def test_the_holder_is_over_before_any_voter_could_be():
     one, _ = voter()
     box = Box()
-    candidate = Candidate(box, 0, 9, [0], one, Chance(1), length=LENGTH, drift=DRIFT)
+    candidate = Proposer(box, 0, 9, [0], one, RandomSource(1), length=LENGTH, drift=DRIFT)
     candidate._try(100.0)
     candidate.promise_came(100.5, 0, 5, m.Promise(candidate.ballot))
     candidate.accept_came(101.0, 0, m.Accept(candidate.ballot))
@@ -89,22 +89,24 @@
 
     def __init__(self):
         super().__init__()
-        self.now, self.lives, self.net = 0.0, 0, []
+        self.now, self.generations, self.net = 0.0, 0, []
         self.seats, self.claims = [None] * 3, {}
         for number in range(3):
             self._begin(number, -10.0)
 
     def _begin(self, number, started):
-        self.lives += 1
-        box, life = Box(), self.lives
-        one = Voter(box, life, started, length=LENGTH, drift=DRIFT)
-        candidate = Candidate(box, number, life, [0, 1, 2], one, Chance(life), length=LENGTH, drift=DRIFT)
-        self.seats[number] = (box, one, candidate, life)
+        self.generations += 1
+        box, generation = Box(), self.generations
+        one = Acceptor(box, generation, started, length=LENGTH, drift=DRIFT)
+        candidate = Proposer(
+            box, number, generation, [0, 1, 2], one, RandomSource(generation), length=LENGTH, drift=DRIFT
+        )
+        self.seats[number] = (box, one, candidate, generation)
         self.claims.pop(number, None)
 
     def _collect(self):
-        for number, (box, _, candidate, life) in enumerate(self.seats):
-            self.net += [(number, life, to, message) for to, message in box.sent]
+        for number, (box, _, candidate, generation) in enumerate(self.seats):
+            self.net += [(number, generation, to, message) for to, message in box.sent]
             box.sent.clear()
             self.claims[number] = candidate.until
 
@@ -118,14 +120,14 @@
         if not self.net:
             return
         at = which % len(self.net)
-        sender, life, to, message = self.net[at] if keep else self.net.pop(at)
+        sender, generation, to, message = self.net[at] if keep else self.net.pop(at)
         _, one, candidate, _ = self.seats[to]
         if isinstance(message, m.Prepare):
             one.prepare_came(self.now, sender, message.ballot)
         elif isinstance(message, m.Propose):
             one.propose_came(self.now, sender, message)
         elif isinstance(message, m.Promise):
-            candidate.promise_came(self.now, sender, life, message)
+            candidate.promise_came(self.now, sender, generation, message)
         elif isinstance(message, m.Accept):
             candidate.accept_came(self.now, sender, message)
         elif isinstance(message, m.Refuse):
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -8,7 +8,7 @@
 
 from firwalk.cluster.host import State
 from firwalk.cluster.members import Members
-from firwalk.cluster.random_source import Chance
+from firwalk.cluster.random_source import RandomSource
 from firwalk.lab.virtual import Fault, Schedule, World
 
 FAST = {"period": 0.5, "answer": 0.15}
@@ -46,8 +46,8 @@
 
 def test_one_restarted_at_once_is_known_as_new():
     made = world(faults=[Fault(15.0, 0.01, "kill", (5,))], until=40.0)
-    life = made.processes[5].life
-    assert all(made.processes[seat].seat.members.all[5].life == life for seat in range(12))
+    generation = made.processes[5].generation
+    assert all(made.processes[seat].seat.members.all[5].generation == generation for seat in range(12))
     assert all(seen(made, seat, 5) is State.UP for seat in range(12))
 
 
@@ -104,23 +104,23 @@
 
     def __init__(self):
         super().__init__()
-        self.members = Members(Box(), 0, 4, 77, Chance(1), period=0.5, answer=0.1)
+        self.members = Members(Box(), 0, 4, 77, RandomSource(1), period=0.5, answer=0.1)
         self.now, self.known = 0.0, [(-1, 0)] * 4
 
     @rule(
         seat=st.integers(0, 3),
         incarnation=st.integers(0, 6),
-        life=st.integers(1, 3),
+        generation=st.integers(1, 3),
         state=st.integers(0, 3),
         sender=st.integers(1, 3),
     )
-    def news(self, seat, incarnation, life, state, sender):
-        self.members.news_came(self.now, [(seat, incarnation, life, state)], sender)
+    def news(self, seat, incarnation, generation, state, sender):
+        self.members.news_came(self.now, [(seat, incarnation, generation, state)], sender)
         self._check()
 
-    @rule(seat=st.integers(1, 3), incarnation=st.integers(0, 6), life=st.integers(1, 3))
-    def heard(self, seat, incarnation, life):
-        self.members.heard(self.now, seat, life, incarnation)
+    @rule(seat=st.integers(1, 3), incarnation=st.integers(0, 6), generation=st.integers(1, 3))
+    def heard(self, seat, incarnation, generation):
+        self.members.heard(self.now, seat, generation, incarnation)
         self._check()
 
     @rule(by=st.sampled_from((0.1, 1.0, 30.0)))
--- a/tests/cluster/test_plan.py
+++ b/tests/cluster/test_plan.py
@@ -4,8 +4,8 @@
 from test_lease import Box
 
 from firwalk.cluster.messages import MOST_PIECES, PIECE, Answer
-from firwalk.cluster.plan import Follower, TooLong, encoded, pieces
-from firwalk.cluster.random_source import Chance
+from firwalk.cluster.plan import PlanFollower, PlanTooLarge, encoded, pieces
+from firwalk.cluster.random_source import RandomSource
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch
 from firwalk.lab.virtual import Fault, Schedule, World
@@ -89,7 +89,7 @@
 
 def test_a_plan_holds_from_the_question_however_late_the_answer():
     box = Box()
-    follower = Follower(box, 3, Chance(1), report=0.5, hold=3.0)
+    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold=3.0)
     stamp = ((4, 0, 9), 2)
     follower.office_heard(10.0, stamp[0])
     mark = box.sent[-1][1].mark
@@ -101,19 +101,19 @@
 
 
 def test_a_plan_too_long_for_its_pieces_is_turned_down_whole():
-    with pytest.raises(TooLong):
+    with pytest.raises(PlanTooLarge):
         encoded({"a": "x" * MOST_PIECES * PIECE})
     made, _ = world(10.0)
     process = made.processes[made.coordinator()]
     before = process.seat.writer.stamp()
-    with pytest.raises(TooLong):
+    with pytest.raises(PlanTooLarge):
         process.seat.set_section(process.clock(), "long", "x" * 20000)
     assert process.seat.writer.stamp() == before
 
 
 def test_a_spoilt_piece_is_asked_for_again():
     box = Box()
-    follower = Follower(box, 3, Chance(1), report=0.5, hold=3.0)
+    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold=3.0)
     stamp = ((4, 0, 9), 2)
     follower.office_heard(10.0, stamp[0])
     parts = pieces(stamp, encoded({"a": "x" * 300}))
--- a/tests/cluster/test_stages.py
+++ b/tests/cluster/test_stages.py
@@ -23,14 +23,14 @@
     BAD,
     LATE,
     TIME,
-    Comparison,
+    CanaryAnalysis,
+    HarmThresholds,
     Pasts,
     Row,
     Verdict,
-    Worse,
 )
-from firwalk.cluster.node_id_ranges import read, spelled
-from firwalk.cluster.rollout import Roll, Terms, in_turn, sets
+from firwalk.cluster.node_id_ranges import decode_ranges, encode_ranges
+from firwalk.cluster.rollout import Rollout, RolloutPolicy, in_turn, sets
 from firwalk.config import rollout_file
 from firwalk.lab.rolls import CHANGE, CHECK, KINDS, REPLACE, Fleet, Version
 from firwalk.lab.virtual import Fault
@@ -44,8 +44,15 @@
 
 
 def test_seats_are_spelled_and_read():
-    assert spelled([4, 0, 1, 2, 9, 10]) == "0-2,4,9-10" and read("0-2,4,9-10") == [0, 1, 2, 4, 9, 10]
-    assert spelled([]) == "" and read("") == []
+    assert encode_ranges([4, 0, 1, 2, 9, 10]) == "0-2,4,9-10" and decode_ranges("0-2,4,9-10") == [
+        0,
+        1,
+        2,
+        4,
+        9,
+        10,
+    ]
+    assert encode_ranges([]) == "" and decode_ranges("") == []
 
 
 def test_zones_go_by_turns_voters_late_and_one_of_each_zone_is_a_control():
@@ -78,7 +85,7 @@
     new, doubt, wrong, ordered = {}, {}, [], []
     for at, seat, _, what, about in fleet.world.history:
         if what == "stage":
-            ordered = read(about["new"])
+            ordered = decode_ranges(about["new"])
             fresh = [s for s in ordered if s not in new and s not in doubt]
             doubt |= dict.fromkeys(fresh, at)
             if about["state"] == "going" and len({s % fleet.zones for s in fresh}) > 1:
@@ -279,9 +286,9 @@
 
 
 def test_what_the_plan_tells_of_stages_stays_bounded():
-    roll = Roll(Terms(), [0], 3, lambda name: (CHANGE, CHECK, []))
+    roll = Rollout(RolloutPolicy(), [0], 3, lambda name: (CHANGE, CHECK, []))
     for seat in range(3):
-        roll.figures_came(1.0, seat, 5, m.Figures(0, crc32(b"v1"), 0, 0, 200, []))
+        roll.figures_came(1.0, seat, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
     assert roll.start(1.0, "c", CHECK, [0, 1, 2]) == ""
     for _ in range(30):
         roll.comparison = compared((400, 40, 4.0), (400, 2, 4.0))
@@ -312,7 +319,7 @@
     coordinator = fleet.world.coordinator()
     for part in fleet.made.values():
         part.contracts_version = lambda: 7
-    fleet.world.run(14.0 + 2.5 * Terms().report)
+    fleet.world.run(14.0 + 2.5 * RolloutPolicy().report)
     told = fleet.made[coordinator].roll.told
     assert {seat: one.contracts for seat, one in told.items()} == dict.fromkeys(range(12), 7)
 
@@ -340,8 +347,8 @@
 
 
 def test_a_fleet_of_one_is_told_that_it_would_forget_the_change():
-    roll = Roll(Terms(), [0], 1, lambda name: (CHANGE, CHECK, []))
-    roll.figures_came(1.0, 0, 5, m.Figures(0, crc32(b"v1"), 0, 0, 200, []))
+    roll = Rollout(RolloutPolicy(), [0], 1, lambda name: (CHANGE, CHECK, []))
+    roll.figures_came(1.0, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
     assert roll.start(1.0, "c", CHECK, [0]).startswith("only one node is up") and roll.section == {}
 
 
@@ -351,7 +358,9 @@
     fleet.world.watchers.append(
         SimpleNamespace(
             happened=lambda *about: None,
-            sent=lambda now, process, seat, got: told.append(now) if isinstance(got, m.Figures) else None,
+            sent=lambda now, process, seat, got: (
+                told.append(now) if isinstance(got, m.RolloutMetrics) else None
+            ),
         )
     )
     fleet.world.run(30.0)
@@ -365,22 +374,22 @@
 
 
 def orders_all_at_once(patch):
-    patch.setattr(Roll, "_batch", lambda self, left, up, part: list(left))
+    patch.setattr(Rollout, "_batch", lambda self, left, up, part: list(left))
 
 
 def orders_without_waiting(patch):
-    patch.setattr(Roll, "_settled", lambda self, now, seat: True)
+    patch.setattr(Rollout, "_settled", lambda self, now, seat: True)
 
 
 def names_more_than_the_stage(patch):
-    real = Roll._batch
+    real = Rollout._batch
 
     def batch(self, left, up, part):
         found = real(self, left, up, part)
-        more = [seat for seat in up if seat not in found and seat not in read(self.section["new"])]
+        more = [seat for seat in up if seat not in found and seat not in decode_ranges(self.section["new"])]
         return found + more[:1]
 
-    patch.setattr(Roll, "_batch", batch)
+    patch.setattr(Rollout, "_batch", batch)
 
 
 @pytest.mark.parametrize("mutant", [orders_all_at_once, orders_without_waiting, names_more_than_the_stage])
@@ -400,7 +409,7 @@
 
 def compared(new, old, worse=None, zones=2, nodes=3):
     """Rows by node: (tasks, abandoned, mean of the logarithm)."""
-    made = Comparison(worse or Worse(), 5)
+    made = CanaryAnalysis(worse or HarmThresholds(), 5)
     for side, told in ((True, new), (False, old)):
         tasks, abandoned, mean = told
         for zone in range(zones):
@@ -434,7 +443,7 @@
 def test_a_zone_without_any_harm_does_not_outweigh_another_one_that_is_harmed():
     """By the spread of chance a zone with none at all seemed to prove that all is the same: a stage whose
     nodes erred in one zone alone was held as too little to tell by."""
-    made = Comparison(Worse(), 5)
+    made = CanaryAnalysis(HarmThresholds(), 5)
     for zone, abandoned in ((0, 0), (1, 24)):
         made.add(zone, 2 * zone, True, Row(1, 80, 0, abandoned, 0, 0, 80, 0))
         made.add(zone, 2 * zone + 1, False, Row(1, 240, 0, 0, 0, 0, 240, 0))
@@ -442,7 +451,7 @@
 
 
 def test_nothing_to_compare_is_no_pass():
-    assert Comparison(Worse(), 5).judged() == (Verdict.UNSURE, None)
+    assert CanaryAnalysis(HarmThresholds(), 5).judged() == (Verdict.UNSURE, None)
 
 
 def test_nodes_that_differ_among_themselves_divide_the_evidence():
@@ -458,7 +467,7 @@
     """300 stages drawn each: the same version on both sides, and one that abandons so many more."""
 
     def verdict(seed, extra):
-        chance, made = Random(seed), Comparison(Worse(), 5)
+        chance, made = Random(seed), CanaryAnalysis(HarmThresholds(), 5)
         for _ in range(400):
             for node in range(6):
                 new = node == 0 or node == 3
@@ -501,7 +510,7 @@
 
     for node in range(4) if with_past else ():
         past.add(0, node, row(node, 2000, 0.0))
-    made = Comparison(Worse(), 5, past)
+    made = CanaryAnalysis(HarmThresholds(), 5, past)
     for _ in range(looks):
         for node in range(4):
             made.add(0, node, node == 0, row(node, 8, log(times) * (node == 0)))
@@ -533,22 +542,22 @@
 
 
 def test_a_nodes_past_is_what_it_counted_lately():
-    roll = Roll(Terms(), [0], 2, lambda name: (CHANGE, CHECK, []))
+    roll = Rollout(RolloutPolicy(), [0], 2, lambda name: (CHANGE, CHECK, []))
     for at, tasks in ((0.0, 100), (100.0, 150), (310.0, 400), (700.0, 1000), (710.0, 1010)):
         row = (1, tasks, 0, 0, 0, 0, tasks, 0, 0, 0)
-        roll.figures_came(at, 0, 5, m.Figures(0, crc32(b"v1"), 0, 0, 200, [row]))
+        roll.figures_came(at, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [row]))
     assert [one.tasks for one in roll.told[0].past()] == [610]
-    roll.figures_came(720.0, 0, 6, m.Figures(0, crc32(b"v1"), 0, 0, 200, [(1, 5, *[0] * 8)]))
+    roll.figures_came(720.0, 0, 6, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [(1, 5, *[0] * 8)]))
     assert [one.tasks for one in roll.told[0].past()] == [0]
 
 
 def takes_the_larger_evidence(patch):
-    real = Comparison.evidence
-    patch.setattr(Comparison, "evidence", lambda self, key, times=1.0: real(self, key, times)[::-1])
+    real = CanaryAnalysis.evidence
+    patch.setattr(CanaryAnalysis, "evidence", lambda self, key, times=1.0: real(self, key, times)[::-1])
 
 
 def forgets_the_spread(patch):
-    patch.setattr(Comparison, "_dispersion", lambda self, key: 1.0)
+    patch.setattr(CanaryAnalysis, "_dispersion", lambda self, key: 1.0)
 
 
 def test_the_checks_see_evidence_that_is_taken_for_more_than_it_is(monkeypatch):
@@ -596,7 +605,7 @@
 )
 def test_all_that_is_wrong_with_a_change_is_told(tmp_path, text, words):
     (tmp_path / "c.toml").write_text(text)
-    change, _, faults = rollout_file.named(str(tmp_path), "c")
+    change, _, faults = rollout_file.load_by_name(str(tmp_path), "c")
     assert change is None and all(any(word in fault for fault in faults) for word in words), faults
 
 
@@ -604,27 +613,27 @@
     (tmp_path / "c.toml").write_text("contracts = '2'\nbefore = '1'")
     beside = tmp_path / "contracts-2.toml"
     beside.write_text("version = 3\nteams = []")
-    assert "version: 3 is not 2" in rollout_file.named(str(tmp_path), "c")[2][0]
+    assert "version: 3 is not 2" in rollout_file.load_by_name(str(tmp_path), "c")[2][0]
     beside.write_text("version = 2\nteams = [{name = 'north', budget = -1}]")
-    assert rollout_file.named(str(tmp_path), "c")[0] is None
+    assert rollout_file.load_by_name(str(tmp_path), "c")[0] is None
     beside.write_text("version = 2\nteams = [{name = 'north', budget = 1}]")
-    change, _, faults = rollout_file.named(str(tmp_path), "c")
+    change, _, faults = rollout_file.load_by_name(str(tmp_path), "c")
     assert not faults and (change.kind(), change.what(), change.before) == ("contracts", "2", "1")
 
 
 def test_a_good_change_is_read_and_a_name_that_is_none_is_not(tmp_path):
     (tmp_path / "c.toml").write_text(GOOD)
-    change, check, faults = rollout_file.named(str(tmp_path), "c")
+    change, check, faults = rollout_file.load_by_name(str(tmp_path), "c")
     assert not faults and change.what() == "v2" and check == crc32(GOOD.encode())
     for name in ("../c", "", "x" * 41, "d"):
-        assert rollout_file.named(str(tmp_path), name)[0] is None
+        assert rollout_file.load_by_name(str(tmp_path), name)[0] is None
 
 
 def test_the_largest_figures_fit_a_datagram():
     row = (2**32 - 1, *[2**31] * 7, 2**48, 2**48)
-    figures = m.Figures(2**31, 2**32 - 1, 2**32 - 1, 65535, 65535, [row] * m.MOST_COUNTED)
-    data = m.packed(7, 65535, 2**32 - 1, 2**31, figures)
-    assert len(data) <= m.LONGEST and m.unpacked(7, data)[3] == figures
+    figures = m.RolloutMetrics(2**31, 2**32 - 1, 2**32 - 1, 65535, 65535, [row] * m.MOST_COUNTED)
+    data = m.encode(7, 65535, 2**32 - 1, 2**31, figures)
+    assert len(data) <= m.LONGEST and m.decode(7, data)[3] == figures
 
 
 # Bytes of each kind of message as they were when it came to be: a newer version must go on reading them
@@ -632,12 +641,12 @@
 RECORDED = [
     (m.Ping(number=5, office=(3, 1, 77), news=[(2, 1, 9, 0)]), "9401059303014d919402010900"),
     (m.Ack(number=5, office=(3, 1, 77), news=[]), "9402059303014d90"),
-    (m.Ask(number=5, seat=2, news=[]), "9403050290"),
+    (m.PingRequest(number=5, seat=2, news=[]), "9403050290"),
     (m.Nack(number=5), "920405"),
     (m.Prepare(ballot=(3, 1, 77)), "92059303014d"),
     (m.Promise(ballot=(3, 1, 77), accepted=(2, 0, 6)), "93069303014d93020006"),
     (m.Refuse(ballot=(3, 1, 77), highest=(4, 2, 8)), "93079303014d93040208"),
-    (m.Propose(ballot=(3, 1, 77), length=2000, life=77), "94089303014dcd07d04d"),
+    (m.Propose(ballot=(3, 1, 77), length=2000, generation=77), "94089303014dcd07d04d"),
     (m.Accept(ballot=(3, 1, 77)), "92099303014d"),
     (m.Release(ballot=(3, 1, 77)), "920a9303014d"),
     (
@@ -650,26 +659,31 @@
         "970d9303014d040002ce0001e240c403616263",
     ),
     (m.Fetch(term=(3, 1, 77), version=4), "930e9303014d04"),
-    (m.Evidence(zone=2, asks=1000, views=[(0, 3, 1, 0, 5, 1000)]), "940f02cd03e891960003010005cd03e8"),
-    (m.Wish(number=1, word="drain", zone=2), "941001a5647261696e02"),
-    (m.Said(number=1, done=True, text="done"), "941101c3a4646f6e65"),
     (
-        m.Want(mark=7, check=11, ready=12, rows=[(3, 500, 1, 400)], first=7, last=7),
+        m.HealthObservations(zone=2, asks=1000, views=[(0, 3, 1, 0, 5, 1000)]),
+        "940f02cd03e891960003010005cd03e8",
+    ),
+    (m.OperatorCommand(number=1, word="drain", zone=2), "941001a5647261696e02"),
+    (m.CommandResult(number=1, done=True, text="done"), "941101c3a4646f6e65"),
+    (
+        m.QuotaRequest(mark=7, check=11, ready=12, rows=[(3, 500, 1, 400)], first=7, last=7),
         "9712070b0c919403cd01f401cd01900707",
     ),
-    (m.Grant(mark=7, check=11, length=6000, rows=[(3, 500)]), "9513070bcd1770919203cd01f4"),
+    (m.QuotaGrant(mark=7, check=11, length=6000, rows=[(3, 500)]), "9513070bcd1770919203cd01f4"),
     (
-        m.Figures(change=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)]),
+        m.RolloutMetrics(
+            change=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)]
+        ),
         "971404050601cd012c919a09010203040506070809",
     ),
-    (m.Word(number=2, word="start", name="v2", check=99, text=""), "961502a57374617274a2763263a0"),
+    (m.RolloutCommand(number=2, word="start", name="v2", check=99, text=""), "961502a57374617274a2763263a0"),
 ]
 
 
 # The same of kinds that have grown since.
 GROWN = [
     (
-        m.Figures(
+        m.RolloutMetrics(
             change=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)], contracts=2
         ),
         "981404050601cd012c919a0901020304050607080902",
@@ -698,7 +712,7 @@
     process = fleet.world.processes[5]
     process.seat.follower.sections = {"stages": {"new": "x-y", "number": 1}}
     assert fleet.made[5].wanted(process.clock()) == "nothing"
-    roll = Roll(Terms(), [0], 3, lambda name: (None, 0, []))
+    roll = Rollout(RolloutPolicy(), [0], 3, lambda name: (None, 0, []))
     for section in (None, [], {"state": "going"}, "x"):
         roll.resumed(0.0, section)
         assert roll.look(1.0, [0, 1, 2], "") == {}
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -3,10 +3,10 @@
 import pytest
 from helpers import LIMITS, OFFERINGS
 
-from firwalk.cluster.plan_enforcement import Mix, Steering
+from firwalk.cluster.plan_enforcement import PlanEnforcer, PriorityMix
 from firwalk.cluster.zones import Mode
-from firwalk.dispatcher.dispatcher import Desk
-from firwalk.policy.interface import Condition, Outcome
+from firwalk.dispatcher.dispatcher import Dispatcher
+from firwalk.policy.interface import EndpointState, Outcome
 
 SETTINGS = {
     "offerings": OFFERINGS,
@@ -42,16 +42,16 @@
 class Node:
     def __init__(self, zone=0):
         self.now, self.seat = 100.0, Seat()
-        self.desk = Desk(SETTINGS | {"az": zone}, 7, lambda: self.now, lambda: None)
-        self.desk.report_list(
+        self.dispatcher = Dispatcher(SETTINGS | {"az": zone}, 7, lambda: self.now, lambda: None)
+        self.dispatcher.report_list(
             1,
             True,
             [
-                (f"e{n}", ("127.0.0.1", n + 1), "abc"[n % 3], "m", n, Condition.READY, 0.0, 1.0)
+                (f"e{n}", ("127.0.0.1", n + 1), "abc"[n % 3], "m", n, EndpointState.READY, 0.0, 1.0)
                 for n in range(9)
             ],
         )
-        self.steering = Steering(self.seat, self.desk, zone, 3, self.now)
+        self.steering = PlanEnforcer(self.seat, self.dispatcher, zone, 3, self.now)
 
     def plan(self, modes, shares, away=None, panic=False, drained=()):
         self.seat.follower.zones = {
@@ -65,20 +65,20 @@
     def met(self, zone, missed, tried=10):
         """What this node met there since it told last."""
         for _ in range(tried):
-            self.desk.seen.ended(zone, missed, False)
+            self.dispatcher.health_observer.ended(zone, missed, False)
         self.seat.evidence(self.now)
 
     def shunned(self):
-        return [n for n, zone in self.desk.node.zones.items() if zone.away_until == float("inf")]
+        return [n for n, zone in self.dispatcher.policy.zones.items() if zone.away_until == float("inf")]
 
     def took(self, count=60, offering="read"):
         """Zones of the executors that tasks were sent to, and how many were turned away at once."""
         zones, away = [], 0
         for _ in range(count):
-            errand = self.desk.report_task(offering, "", 2.0, 0.01, 1.0, 0.0, False)
-            if errand.task.assignments:
-                zones.append(int(errand.task.assignments[0].executor.ref.name[1:]) % 3)
-                self.desk.report_outcome(errand, 0, Outcome.FINISHED)
+            pending = self.dispatcher.report_request(offering, "", 2.0, 0.01, 1.0, 0.0, False)
+            if pending.request.attempts:
+                zones.append(int(pending.request.attempts[0].executor.ref.name[1:]) % 3)
+                self.dispatcher.report_outcome(pending, 0, Outcome.COMPLETED)
             else:
                 away += 1
         return zones, away
@@ -141,9 +141,9 @@
     node.met(0, missed=True)
     node.plan((AWAY, OPEN, OPEN), {0: {}}, {0: 1.0})
     for offering in ("read", "put"):
-        errand = node.desk.report_task(offering, "", 2.0, 0.01, 1.0, 0.0, False)
-        step = errand.steps.popleft()
-        assert step[0].name == "BOUNCED" and not errand.task.assignments
+        pending = node.dispatcher.report_request(offering, "", 2.0, 0.01, 1.0, 0.0, False)
+        step = pending.actions.popleft()
+        assert step[0].name == "BOUNCED" and not pending.request.attempts
         assert 0.5 <= step[1] <= LIMITS["max-retry-after-us"] * 1e-6
 
 
@@ -152,7 +152,7 @@
     [(0.0, (0.0, 0.0)), (0.25, (0.5, 0.0)), (0.5, (1.0, 0.0)), (0.75, (1.0, 0.5)), (1.0, (1.0, 1.0))],
 )
 def test_the_least_important_goes_first_by_its_part_of_the_work(part, expected):
-    mix = Mix()
+    mix = PriorityMix()
     for _ in range(400):
         mix.add(1.0, 2.0)
         mix.add(4.0, 2.0)
@@ -160,4 +160,4 @@
 
 
 def test_an_importance_that_has_not_come_yet_goes_only_when_all_goes():
-    assert Mix().turned_away(0.5, 1.0) == 0.0 and Mix().turned_away(1.0, 1.0) == 1.0
+    assert PriorityMix().turned_away(0.5, 1.0) == 0.0 and PriorityMix().turned_away(1.0, 1.0) == 1.0
--- a/tests/cluster/test_zones.py
+++ b/tests/cluster/test_zones.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 
 from firwalk.cluster import zones as zones_module
-from firwalk.cluster.health_observations import Watch, views
-from firwalk.cluster.zones import REGION, STEPS, Mode, Terms, View, Zones, followed
+from firwalk.cluster.health_observations import HealthObserver, views
+from firwalk.cluster.zones import REGION, STEPS, Mode, View, ZonePolicy, Zones, followed
 
 GOOD, LOST = View(10, 0, 0, 0.01, 10.0), View(10, 10, 0, 0.0, 10.0)
 
@@ -15,7 +15,7 @@
     """Nodes that tell of zones once a look; zone of seat n is n modulo zones."""
 
     def __init__(self, zones=3, nodes=9, asks=1.0, terms=None, bears=10.0):
-        self.zones = Zones(terms or Terms(tuple([0] * zones)))
+        self.zones = Zones(terms or ZonePolicy(tuple([0] * zones)))
         self.nodes, self.count, self.asks, self.bears, self.now = nodes, zones, asks, bears, 0.0
         self.up = list(range(nodes))
         self.zone_of = {seat: seat % zones for seat in range(nodes)}
@@ -136,7 +136,7 @@
 
 def test_a_node_gives_the_alarm_for_what_turned_bad_and_not_for_what_it_told():
     """Tries in a zone add up over reports: what was told of them is not what they come to by now."""
-    watch, alarms = Watch(0, 2, 0.0), []
+    watch, alarms = HealthObserver(0, 2, 0.0), []
     watch.alarm = lambda: alarms.append(watch.so_far([8.0, 4.0]).views[1][1:3])
     watch.ended(1, False, False)
     watch.told(0.5, [8.0, 4.0])
@@ -197,7 +197,7 @@
 
 def test_what_a_pause_let_through_at_once_is_not_what_clients_ask():
     """Clients that stood still for a second send all of it within one report."""
-    watch, asks = Watch(0, 1, 0.0, report=0.25), []
+    watch, asks = HealthObserver(0, 1, 0.0, report=0.25), []
     arrivals = [0.25] * 12 + [0.0] * 4 + [1.25] + [0.25] * 8
     for number, work in enumerate(arrivals):
         watch.arrived(work)
@@ -206,7 +206,7 @@
 
 
 def test_two_reports_in_a_row_tell_the_same_demand():
-    watch = Watch(0, 1, 0.0, report=0.25)
+    watch = HealthObserver(0, 1, 0.0, report=0.25)
     for number in range(8):
         watch.arrived(0.25)
         watch.told(0.25 * (number + 1), [8.0])
@@ -216,7 +216,7 @@
 
 
 def test_a_miss_speaks_against_a_zone_only_where_nobody_else_there_answered_since():
-    watch = Watch(0, 2, 0.0)
+    watch = HealthObserver(0, 2, 0.0)
     watch.ended(1, True, False, 0.4, 0.2)
     assert watch.so_far([8.0, 4.0]).views[1][:4] == (1, 1, 1, 0)  # nobody was heard at all
     watch.started(1, 0.01, 0.5)
@@ -261,7 +261,7 @@
 
 
 def test_figures_that_cannot_be_are_passed_over():
-    zones = Zones(Terms((0, 0)))
+    zones = Zones(ZonePolicy((0, 0)))
     for zone, asks, view in (
         (0, -1.0, GOOD),
         (5, 1.0, GOOD),
@@ -328,12 +328,12 @@
 
 
 def test_regions_go_by_the_operators_order_and_what_must_stay_stays():
-    terms = Terms((0, 0, 1, 2), order={0: (2, 1)})
+    terms = ZonePolicy((0, 0, 1, 2), order={0: (2, 1)})
     fleet = Fleet(zones=4, nodes=12, terms=terms)
     assert set(fleet.look(lost(0), times=2).shares[0]) == {0, 1}
     division = fleet.look(lost(0, 1), times=2)
     assert division.shares[0][3] == pytest.approx(5 / 6) and division.shares[0][2] == pytest.approx(1 / 6)
-    stays = Fleet(zones=4, nodes=12, terms=Terms((0, 0, 1, 2), stays=(0,)))
+    stays = Fleet(zones=4, nodes=12, terms=ZonePolicy((0, 0, 1, 2), stays=(0,)))
     division = stays.look(lost(0, 1), times=2)
     assert division.turned_away[0] == pytest.approx(1.0) and division.turned_away[1] == 0.0
 
@@ -386,7 +386,7 @@
     count = data.draw(st.integers(2, 6))
     part = st.floats(0.0, 50.0)
     zones = zones_of(
-        Terms(
+        ZonePolicy(
             tuple(data.draw(st.lists(st.integers(0, 2), min_size=count, max_size=count))),
             data.draw(st.floats(0.3, 1.0)),
             tuple(data.draw(st.lists(st.integers(0, count - 1), max_size=2, unique=True))),
@@ -431,7 +431,7 @@
 def test_a_zone_that_asks_for_next_to_nothing_is_as_one_that_asks_for_nothing():
     """Its parts did not add up: half of 5e-324 is all of it, or none."""
     for asks in (5e-324, 1e-300, 1e-12):
-        zones = Zones(Terms((0, 0)))
+        zones = Zones(ZonePolicy((0, 0)))
         zones.all[1].asks, zones.all[1].mode = asks, Mode.LEANING
         assert broken(zones) == []
         zones.all[1].mode = Mode.AWAY
@@ -484,7 +484,7 @@
 
 
 def test_the_tries_of_a_node_with_little_traffic_add_up():
-    watch = Watch(0, 2, 0.0)
+    watch = HealthObserver(0, 2, 0.0)
     told = []
     for look in range(8):
         watch.ended(1, True, False)
@@ -500,14 +500,14 @@
 
 
 def test_a_region_is_drained_whole_or_not_at_all():
-    fleet = Fleet(zones=4, nodes=12, terms=Terms((0, 0, 1, 1)))
+    fleet = Fleet(zones=4, nodes=12, terms=ZonePolicy((0, 0, 1, 1)))
     fleet.look()
     assert fleet.zones.named(REGION + 1) == [2, 3] and fleet.zones.named(9) == []
     assert fleet.zones.dry([2, 3]).count("0% would fit nowhere") == 2
     assert not any(zone.drained for zone in fleet.zones.all)
     assert fleet.zones.drain([2, 3]) == "" and set(fleet.zones.division.shares[2]) == {0, 1, 2}
     assert [zone.drained for zone in fleet.zones.all] == [False, False, True, True]
-    busy = Fleet(zones=4, nodes=12, asks=2.0, terms=Terms((0, 0, 1, 1)))
+    busy = Fleet(zones=4, nodes=12, asks=2.0, terms=ZonePolicy((0, 0, 1, 1)))
     busy.look()
     assert "would fit nowhere" in busy.zones.drain([2, 3])
     assert not any(zone.drained for zone in busy.zones.all)
--- a/tests/cluster/test_zones_virtual.py
+++ b/tests/cluster/test_zones_virtual.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from firwalk.cluster.cluster_member import Seat
-from firwalk.cluster.messages import Evidence
-from firwalk.cluster.zones import Terms, followed
+from firwalk.cluster.cluster_member import ClusterMember
+from firwalk.cluster.messages import HealthObservations
+from firwalk.cluster.zones import ZonePolicy, followed
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch
 from firwalk.lab.virtual import Fault, Schedule, World
@@ -18,9 +18,9 @@
     def __init__(self):
         self.lost = ()
 
-    def make(self, host, seat, seats, life, now, **named):
-        made = Seat(host, seat, seats, life, now, zones=Terms((0,) * ZONES), **named)
-        made.evidence = lambda now: Evidence(
+    def make(self, host, seat, seats, generation, now, **named):
+        made = ClusterMember(host, seat, seats, generation, now, zones=ZonePolicy((0,) * ZONES), **named)
+        made.evidence = lambda now: HealthObservations(
             seat % ZONES,
             1000,
             [(zone, 10, 10 if zone in self.lost else 0, 0, 10, seats * 1000) for zone in range(ZONES)],
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -10,7 +10,7 @@
 from firwalk.dispatcher import dispatcher
 from firwalk.net import clients
 from firwalk.policy import policy
-from firwalk.policy.interface import Condition, Outcome
+from firwalk.policy.interface import EndpointState, Outcome
 
 
 def every(number):
@@ -58,64 +58,70 @@
 
 def repeats_what_must_not_repeat():
     """It takes a finished attempt for one that failed, and its gates let every request pass again."""
-    real = policy.Node.ended
+    real = policy.Policy.ended
 
     def ended(self, now, assignment, how, took, complete, report):
-        if how is Outcome.FINISHED and len(assignment.task.assignments) == 1:
+        if how is Outcome.COMPLETED and len(assignment.request.attempts) == 1:
             how, complete = Outcome.ERROR, False
         real(self, now, assignment, how, took, complete, report)
 
-    policy.Node.ended = ended
-    policy.Node._safe_after = lambda self, now, task, executor, before: len(before) < 3
-    dispatcher.LAST = (Outcome.UNFIT,)
+    policy.Policy.ended = ended
+    policy.Policy._safe_after = lambda self, now, task, executor, before: len(before) < 3
+    dispatcher.LAST = (Outcome.INVALID,)
 
 
 def does_not_hear_of_drains():
-    real = policy.Node.heard
+    real = policy.Policy.heard
 
     def heard(self, now, executor, condition, came_up):
-        real(self, now, executor, Condition.READY if condition is Condition.DRAINING else condition, came_up)
+        real(
+            self,
+            now,
+            executor,
+            EndpointState.READY if condition is EndpointState.DRAINING else condition,
+            came_up,
+        )
 
-    policy.Node.heard = heard
+    policy.Policy.heard = heard
 
 
 def pushes_cold_ones_over():
     """All goes to whoever came up last, as if it were warm."""
-    policy.Node._cold_room = lambda self, now, executor, task, own=0.0: True
-    real = policy.Node._choose
+    policy.Policy._cold_room = lambda self, now, executor, task, own=0.0: True
+    real = policy.Policy._choose
 
     def choose(self, now, task, among, anew=False):
-        ready = [e for e in self.near + self.far if not task.assignments and e.came_up]
+        ready = [e for e in self.near + self.far if not task.attempts and e.came_up]
         return max(ready, key=lambda e: e.came_up, default=None) or real(self, now, task, among, anew)
 
-    policy.Node._choose = choose
+    policy.Policy._choose = choose
 
 
 def voter_grants_at_once_after_its_start():
-    real = lease.Voter.__init__
+    real = lease.Acceptor.__init__
 
     def begin(self, *args, **named):
         real(self, *args, **named)
         self.quiet_until = 0.0
 
-    lease.Voter.__init__ = begin
-    lease.Candidate.start = lambda self, now: self.host.set_timer(now + 0.05, self._look, None)
+    lease.Acceptor.__init__ = begin
+    lease.Proposer.start = lambda self, now: self.host.set_timer(now + 0.05, self._look, None)
 
 
 def holder_acts_after_its_end():
     """Woken past its lease it goes on in the old name."""
-    lease.Candidate.holds = lambda self, now: self.until > 0.0
-    lease.Candidate._end = lambda self, now, until: None
+    lease.Proposer.holds = lambda self, now: self.until > 0.0
+    lease.Proposer._end = lambda self, now, until: None
 
 
 def minority_is_enough():
-    lease.Candidate._majority = lambda self, of: len(of) >= len(self.voters) // 2
+    lease.Proposer._majority = lambda self, of: len(of) >= len(self.voters) // 2
 
 
 def plan_applied_by_halves():
     import msgspec
 
-    real = plan.Follower.take
+    real = plan.PlanFollower.take
 
     def take(self, now, stamp, text, since):
         sections = msgspec.json.decode(text)
@@ -124,12 +130,12 @@
                 sections[name] = self.sections.get(name)
         return real(self, now, stamp, msgspec.json.encode(sections, order="deterministic"), since)
 
-    plan.Follower.take = take
+    plan.PlanFollower.take = take
 
 
 def follower_goes_back():
     """Takes over whatever comes, by turns with the plan before."""
-    real = plan.Follower.take
+    real = plan.PlanFollower.take
     before = []
 
     def take(self, now, stamp, text, since):
@@ -141,7 +147,7 @@
                 real(self, now, *before[-2], now)
         return done
 
-    plan.Follower.take = take
+    plan.PlanFollower.take = take
 
 
 def gives_a_zone_more_than_it_bears():
@@ -161,15 +167,15 @@
 
 def part_outlives_its_lease():
     """Four times as long as it may; found out by days with budgets (`test_budgets_processes.py`)."""
-    from firwalk.cluster.quotas import Holder
+    from firwalk.cluster.quotas import QuotaClient
 
-    real = Holder.__init__
+    real = QuotaClient.__init__
 
     def longer(self, *args):
         real(self, *args)
         self.good *= 4.0
 
-    Holder.__init__ = longer
+    QuotaClient.__init__ = longer
 
 
 ALL = [
--- a/tests/fleet/test_operations.py
+++ b/tests/fleet/test_operations.py
@@ -102,7 +102,7 @@
     page, shipped = (ROOT / "docs" / "configuration.md").read_text(), ROOT / "deploy" / "changes" / "v2.toml"
     assert command("roll", "check", shipped)[0] == 0
     text = shipped.read_text()
-    for kind in (rollout_file.Change, rollout_file.Compare):
+    for kind in (rollout_file.RolloutSpec, rollout_file.CanaryLimits):
         for key in kind.__struct_fields__:
             assert f"\n{key} = " in text or f"\n# {key} = " in text or f"[{key}]" in text
             assert f"`{key}`" in page or f"[{key}]" in page
@@ -110,7 +110,7 @@
         assert f"\n# {key} = " in (ROOT / "deploy" / "cluster.toml").read_text()
         assert f"`stages.{key}`" in page
     text = (ROOT / "deploy" / "agent.toml").read_text()
-    for key in host_processes.Settings.__struct_fields__:
+    for key in host_processes.AgentConfig.__struct_fields__:
         assert f"\n{key} = " in text and f"`{key}`" in page
     (tmp_path / "agent.toml").write_text(text)
     told, faults = host_processes.load(str(tmp_path / "agent.toml"))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,8 +13,9 @@
 
 import orjson
 
-from firwalk.policy.interface import Condition, Effect, Group, Outcome
-from firwalk.policy.policy import Node, Offering, Tenant
+from firwalk.observability.monitor import OUTCOME_REASONS
+from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
+from firwalk.policy.policy import Policy, RequestClass, Tenant
 
 TRACES = Path(__file__).parent / "traces"
 
@@ -29,7 +30,7 @@
             own_number=0,
             nodes=1,
             zone=0,
-            offerings=[offering()],
+            request_classes=[request_class()],
             tenants=[Tenant(10.0)],
             tick=0.005,
             most=5,
@@ -54,49 +55,49 @@
             peers=False,
         )
         known.update(settings)
-        self.node = Node(self, 7, at, **known)
+        self.node = Policy(self, 7, at, **known)
         self.executors = {}
 
     def say(self, text):
         self.lines.append(f"{self.now:7.3f} {text}")
 
-    def send(self, task, executor, limit):
-        self.say(f"send {task.ref}#{len(task.assignments) - 1} to {executor.ref}")
+    def send(self, request, executor, limit):
+        self.say(f"send {request.ref}#{len(request.attempts) - 1} to {executor.ref}")
 
-    def terms(self, task):
+    def admission_weight(self, request):
         return 1.0
 
-    def bounce(self, task, wait):
-        self.say(f"bounce {task.ref}, come back in {wait:.2f}")
+    def reject(self, request, wait):
+        self.say(f"bounce {request.ref}, come back in {wait:.2f}")
 
-    def abandon(self, task):
-        self.say(f"abandon {task.ref}")
+    def fail(self, request):
+        self.say(f"abandon {request.ref}")
 
-    def cancel(self, assignment):
-        self.called.append(assignment)
-        self.say(f"cancel {assignment.task.ref}#{assignment.number} at {assignment.executor.ref}")
+    def cancel(self, attempt):
+        self.called.append(attempt)
+        self.say(f"cancel {attempt.request.ref}#{attempt.number} at {attempt.executor.ref}")
 
-    def begun(self, assignment):
+    def may_have_reached(self, attempt):
         return True
 
-    def probe(self, executor):
+    def check_health(self, executor):
         if not self.quiet:
             self.say(f"probe {executor.ref}")
 
-    def close_idle(self, executor):
+    def close_idle_connections(self, executor):
         self.say(f"close {executor.ref}")
 
     def set_timer(self, when, act, about):
         self.counter += 1
         heapq.heappush(self.timers, (when, self.counter, act, about))
 
-    def warn_peers(self, executor):
+    def gossip_failure(self, executor):
         self.say(f"warn of {executor.ref}")
 
-    def watch(self, on):
+    def watch_endpoints(self, on):
         self.say(f"watch {on}")
 
-    def ask_list(self):
+    def fetch_endpoints(self):
         self.say("ask for the list")
 
     def note(self, line):
@@ -111,27 +112,27 @@
             act(self.now, about)
         self.now = when
 
-    def hear(self, *names, condition=Condition.READY, zone=0, cell=0, came_up=0.0, slots=2):
+    def hear(self, *names, condition=EndpointState.READY, zone=0, cell=0, came_up=0.0, slots=2):
         for name in names:
             if name not in self.executors:
                 self.executors[name] = self.node.new_executor(name, 0, zone, cell, slots)
                 self.executors[name].slots = slots
             executor = self.executors[name]
-            self.node.heard(self.now, executor, condition, came_up)
-        self.node.list_heard(self.now)
+            self.node.endpoint_changed(self.now, executor, condition, came_up)
+        self.node.endpoint_list_received(self.now)
 
-    def task(self, name, cost=0.1, kind=0, budget=None, again=False, slots=1.0):
-        budget = budget or self.node.offerings[kind].expiry
-        return self.node.task_arrived(self.now, name, kind, 0, budget, cost, slots, 0.0, again)
+    def request(self, name, cost=0.1, kind=0, budget=None, again=False, slots=1.0):
+        budget = budget or self.node.request_classes[kind].deadline
+        return self.node.request_arrived(self.now, name, kind, 0, budget, cost, slots, 0.0, again)
 
-    def start(self, task, number=0):
-        self.node.started(self.now, task.assignments[number])
+    def start(self, request, number=0):
+        self.node.attempt_started(self.now, request.attempts[number])
 
-    def end(self, task, how, number=0):
-        assignment = task.assignments[number]
-        done = how is Outcome.FINISHED or not task.open
-        self.say(f"{how.name.lower().replace('_', ' ')} {task.ref}#{number} at {assignment.executor.ref}")
-        self.node.ended(self.now, assignment, how, self.now - assignment.sent, done, None)
+    def end(self, request, how, number=0):
+        attempt = request.attempts[number]
+        done = how is Outcome.COMPLETED or not request.is_open
+        self.say(f"{OUTCOME_REASONS[how].replace('_', ' ')} {request.ref}#{number} at {attempt.executor.ref}")
+        self.node.attempt_ended(self.now, attempt, how, self.now - attempt.sent_at, done, None)
 
     def compare(self, name):
         text = "\n".join(self.lines) + "\n"
@@ -141,9 +142,21 @@
         assert text == path.read_text()
 
 
-def offering(effect=Effect.IDEMPOTENT, group=Group.ALL, due=0.5, expiry=5.0, remembered=3.0):
-    return Offering(
-        due, expiry, importance=5.0, effect=effect, group=group, remembered=remembered, stretch=2.0
+def request_class(
+    idempotency=Idempotency.IDEMPOTENT,
+    deduplication_scope=DeduplicationScope.ALL,
+    due=0.5,
+    deadline=5.0,
+    key_ttl=3.0,
+):
+    return RequestClass(
+        due,
+        deadline,
+        priority_weight=5.0,
+        idempotency=idempotency,
+        deduplication_scope=deduplication_scope,
+        key_ttl=key_ttl,
+        objective_stretch=2.0,
     )
 
 
--- a/tests/soak/faulty.py
+++ b/tests/soak/faulty.py
@@ -34,7 +34,7 @@
     async def run(self):
         return None
 
-    graceful_shutdown.Stop.run = run
+    graceful_shutdown.GracefulShutdown.run = run
 
 
 def closes_over_requests():
@@ -77,7 +77,7 @@
         await real(self, *rest)
 
     clients.Clients._task = task
-    dispatcher.Desk.report_gone = lambda self, errand, reason="": None
+    dispatcher.Dispatcher.report_gone = lambda self, pending, reason="": None
     clients.hung_up = lambda sock: False
 
 
@@ -102,7 +102,7 @@
 
 
 def crashes():
-    real = dispatcher.Desk.report_task
+    real = dispatcher.Dispatcher.report_task
 
     def report_task(self, *rest, **more):
         if time.monotonic() > crash_at:
@@ -110,7 +110,7 @@
         return real(self, *rest, **more)
 
     crash_at = time.monotonic() + 3.0
-    dispatcher.Desk.report_task = report_task
+    dispatcher.Dispatcher.report_task = report_task
 
 
 def does_not_begin():
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -6,14 +6,14 @@
 from helpers import Fake
 
 from firwalk.policy.candidates import FAR_LOOKS, LARGE, NEAR_LOOKS
-from firwalk.policy.interface import Condition, Outcome
+from firwalk.policy.interface import EndpointState, Outcome
 
 
 def fleet(count, zones=2, **more):
     play = Fake(**more)
     for zone in range(zones):
         play.hear(*[f"e{n}" for n in range(zone, count, zones)], zone=zone)
-    play.node.list_heard(play.now)
+    play.node.endpoint_list_received(play.now)
     return play
 
 
@@ -25,7 +25,7 @@
 def test_a_choice_looks_at_a_bounded_number_whatever_the_size(count):
     play = fleet(count)
     for n in range(60):
-        play.task(f"t{n}")
+        play.request(f"t{n}")
     active = sum(one.held > 0 for one in play.node.executors)
     assert len(looked_at(play)) <= active + NEAR_LOOKS + FAR_LOOKS
 
@@ -41,19 +41,19 @@
     with the same least own work."""
     chance = random.Random(seed)
     play = fleet(chance.randint(LARGE + 1, 900))
-    tasks = [play.task(f"t{n}", cost=chance.uniform(0.01, 0.2)) for n in range(chance.randint(1, 60))]
-    for task in tasks:
-        if chance.random() < 0.5 and task.assignments and task.assignments[0].out:
-            play.end(task, Outcome.FINISHED)
+    requests = [play.request(f"t{n}", cost=chance.uniform(0.01, 0.2)) for n in range(chance.randint(1, 60))]
+    for request in requests:
+        if chance.random() < 0.5 and request.attempts and request.attempts[0].is_in_flight:
+            play.end(request, Outcome.COMPLETED)
     node = play.node
     own = [one for one in node.executors if one.held or one.idle]
     sample = looked_at(play)
     assert set(own) <= set(sample) and len(sample) == len(set(sample))
-    probe = play.task("probe", cost=0.05)
-    chosen = probe.assignments[0].executor
+    probe = play.request("probe", cost=0.05)
+    chosen = probe.attempts[0].executor
     probe_free = [one for one in node.near + node.far if one is not chosen]
     best = min(one.work / one.slots for one in probe_free)
-    assert (chosen.work - probe.assignments[0].estimate) / chosen.slots <= best + 1e-9
+    assert (chosen.work - probe.attempts[0].estimate) / chosen.slots <= best + 1e-9
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -61,14 +61,14 @@
     chance = random.Random(seed)
     play = fleet(600)
     names = list(play.executors)
-    conditions = list(Condition)
+    conditions = list(EndpointState)
     for _ in range(40):
         for name in chance.sample(names, chance.randint(1, 40)):
             executor = play.executors[name]
-            play.node.heard(play.now, executor, chance.choice(conditions), 0.0)
-        play.node.list_heard(play.now)
+            play.node.endpoint_changed(play.now, executor, chance.choice(conditions), 0.0)
+        play.node.endpoint_list_received(play.now)
         node = play.node
-        ready = {one for one in node.executors if one.condition is Condition.READY}
+        ready = {one for one in node.executors if one.condition is EndpointState.READY}
         assert set(node.near) == {one for one in ready if one.zone is node.zone}
         assert set(node.far) == {one for one in ready if one.zone is not node.zone}
         assert len(node.near) + len(node.far) == len(ready)
@@ -77,14 +77,14 @@
 def test_one_that_drains_with_connections_open_is_not_chosen():
     """It was the best by its connections, and the gate refused it each time: all was turned away."""
     play = fleet(600)
-    task = play.task("first")
-    executor = task.assignments[0].executor
-    play.end(task, Outcome.FINISHED)
+    request = play.request("first")
+    executor = request.attempts[0].executor
+    play.end(request, Outcome.COMPLETED)
     assert executor.idle
-    play.hear(executor.ref, condition=Condition.DRAINING, zone=0 if executor in play.node.near else 1)
+    play.hear(executor.ref, condition=EndpointState.DRAINING, zone=0 if executor in play.node.near else 1)
     assert executor not in looked_at(play)
     for n in range(10):
-        assert play.task(f"t{n}").assignments[0].executor is not executor
+        assert play.request(f"t{n}").attempts[0].executor is not executor
 
 
 def test_some_in_slow_start_are_met_in_a_large_fleet():
@@ -92,11 +92,11 @@
     names = list(play.executors)[:300]
     play.now = 10.0
     for name in names:
-        play.node.heard(play.now, play.executors[name], Condition.READY, play.now)
-    play.node.list_heard(play.now)
+        play.node.endpoint_changed(play.now, play.executors[name], EndpointState.READY, play.now)
+    play.node.endpoint_list_received(play.now)
     play.now = 11.0
     for n in range(200):
-        play.task(f"t{n}", cost=0.01)
+        play.request(f"t{n}", cost=0.01)
     assert any(play.executors[name].held for name in names)
 
 
@@ -110,7 +110,7 @@
     before = {point: play.node.candidates.following(point, 3) for point in points}
     assert all(len(set(homes)) == 3 for homes in before.values())
     leaves = before[points[0]][0]
-    play.node.heard(play.now, leaves, Condition.GONE, 0.0)
+    play.node.endpoint_changed(play.now, leaves, EndpointState.REMOVED, 0.0)
     moved = sum(play.node.candidates.following(point, 3) != homes for point, homes in before.items())
     assert 0 < moved < 30
     assert all(leaves not in play.node.candidates.following(point, 3) for point in points)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -4,23 +4,27 @@
 from zlib import crc32
 
 import pytest
-from helpers import Fake, offering
+from helpers import Fake, request_class
 
 from firwalk.net.discovery import CALL_TIME, CONNECT_TIME, SILENCE
-from firwalk.policy.interface import Condition, Effect, Group, Outcome
+from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
 from firwalk.policy.policy import Tenant
 
-IDEMPOTENT, FINGERPRINTED, SIDE_EFFECTING = Effect.IDEMPOTENT, Effect.FINGERPRINTED, Effect.SIDE_EFFECTING
+IDEMPOTENT, FINGERPRINTED, SIDE_EFFECTING = (
+    Idempotency.IDEMPOTENT,
+    Idempotency.KEYED,
+    Idempotency.NON_IDEMPOTENT,
+)
 
 
 def test_least_outstanding_work_wins():
     f = Fake()
     f.hear("A", "B")
-    first, *_ = [f.task(f"t{n}", cost) for n, cost in enumerate((0.3, 0.1, 0.1, 0.1))]
+    first, *_ = [f.request(f"t{n}", cost) for n, cost in enumerate((0.3, 0.1, 0.1, 0.1))]
     f.start(first)
     f.until(0.2)
-    f.end(first, Outcome.FINISHED)
-    f.task("t4")
+    f.end(first, Outcome.COMPLETED)
+    f.request("t4")
     f.compare("least_work")
 
 
@@ -28,12 +32,12 @@
     f = Fake()
     f.hear("A")
     a = f.executors["A"]
-    one, two = f.task("one", 0.3), f.task("two", 0.2)
+    one, two = f.request("one", 0.3), f.request("two", 0.2)
     assert a.work == pytest.approx(0.5)
     a.speed = a.rate = 2.0
-    f.end(one, Outcome.FULL)
+    f.end(one, Outcome.AT_CAPACITY)
     assert a.work == pytest.approx(0.2)
-    f.end(two, Outcome.FINISHED)
+    f.end(two, Outcome.COMPLETED)
     assert (a.work, a.held) == (0.0, 0)
 
 
@@ -42,17 +46,17 @@
     f.hear("near", slots=1)
     f.hear("far", zone=1, slots=1)
     for n in range(4):
-        f.task(f"t{n}", 0.3)
+        f.request(f"t{n}", 0.3)
     f.node.mean_value = 100.0
-    f.task("light", 0.01)
+    f.request("light", 0.01)
     f.compare("crossing")
 
 
 OUTCOMES = [
-    Outcome.FULL,
-    Outcome.NO_CONNECTION,
+    Outcome.AT_CAPACITY,
+    Outcome.CONNECT_FAILED,
     Outcome.ERROR,
-    Outcome.BROKEN,
+    Outcome.CONNECTION_LOST,
     Outcome.TIMED_OUT,
     Outcome.CANCELLED,
 ]
@@ -61,43 +65,43 @@
 @pytest.mark.parametrize(
     "name, kind",
     [
-        ("idempotent", offering(IDEMPOTENT)),
-        ("side_effecting", offering(SIDE_EFFECTING)),
-        ("fingerprinted_all", offering(FINGERPRINTED)),
-        ("fingerprinted_zone", offering(FINGERPRINTED, Group.ZONE)),
-        ("fingerprinted_cell", offering(FINGERPRINTED, Group.CELL)),
+        ("idempotent", request_class(IDEMPOTENT)),
+        ("side_effecting", request_class(SIDE_EFFECTING)),
+        ("fingerprinted_all", request_class(FINGERPRINTED)),
+        ("fingerprinted_zone", request_class(FINGERPRINTED, DeduplicationScope.ZONE)),
+        ("fingerprinted_cell", request_class(FINGERPRINTED, DeduplicationScope.CELL)),
     ],
 )
 def test_rule_2_each_effect_after_each_outcome(name, kind):
     lines = []
     for how in OUTCOMES:
-        f = Fake(offerings=[kind])
+        f = Fake(request_classes=[kind])
         f.hear("A", cell=1)
-        task = f.task("t")
+        request = f.request("t")
         f.hear("B", zone=1, cell=2)
         f.hear("C", zone=0, cell=1)
         f.executors["C"].work = 0.01  # B, outside the group, would be the ordinary choice
-        f.end(task, how)
+        f.end(request, how)
         lines += f.lines
     f.lines = lines
     f.compare(name)
 
 
 def test_rule_2_a_fingerprint_is_trusted_only_while_remembered():
-    f = Fake(offerings=[offering(FINGERPRINTED, due=9.0, expiry=9.0, remembered=3.0)])
+    f = Fake(request_classes=[request_class(FINGERPRINTED, due=9.0, deadline=9.0, key_ttl=3.0)])
     f.hear("A", "B")
-    task = f.task("t")
-    f.start(task)
+    request = f.request("t")
+    f.start(request)
     f.until(3.1)
-    f.end(task, Outcome.BROKEN)
+    f.end(request, Outcome.CONNECTION_LOST)
     f.compare("forgotten")
 
 
 def test_rule_1_nothing_after_the_final_answer_or_the_expiry():
     f = Fake()
     f.hear("A", "B")
-    gone, late = f.task("gone"), f.task("late")
-    f.node.withdrawn(f.now, gone)
+    gone, late = f.request("gone"), f.request("late")
+    f.node.request_withdrawn(f.now, gone)
     f.end(gone, Outcome.CANCELLED)
     f.start(late)
     f.until(5.0)
@@ -110,12 +114,12 @@
 def test_rule_3_nothing_new_to_one_that_drains_or_is_gone():
     f = Fake()
     f.hear("A", "B")
-    f.task("t0")
-    f.hear("A", condition=Condition.DRAINING)
-    f.hear("B", condition=Condition.GONE)
-    task = f.task("t1")
-    task.open = True
-    assert not f.node._send(f.now, task, f.executors["A"])
+    f.request("t0")
+    f.hear("A", condition=EndpointState.DRAINING)
+    f.hear("B", condition=EndpointState.REMOVED)
+    request = f.request("t1")
+    request.is_open = True
+    assert not f.node._send(f.now, request, f.executors["A"])
     f.compare("drain")
 
 
@@ -127,18 +131,18 @@
         f.node.near_at = number * 7
         f.hear(*(f"e{n}" for n in range(20)))
         f.executors["e3"].speed = 2.0
-        first.append(f.task("t").assignments[0].executor.ref)
+        first.append(f.request("t").attempts[0].executor.ref)
     assert len(set(first)) > 8 and first.count("e3") < 20
 
 
 def test_hints_that_miss_are_drawn_to_the_mean():
     f = Fake()
-    kind = f.node.offerings[0]
+    kind = f.node.request_classes[0]
     for n in range(200):
         kind.cost(0.5 if n % 2 else 2.0)
         kind.learn(0.5 if n % 2 else 2.0, 1.0 + n % 3)
     assert 1.0 < kind.cost(0.5) < kind.cost(2.0) < 1.8
-    fresh = offering()
+    fresh = request_class()
     assert [fresh.cost(hint) for hint in (0.5, 2.0)] == pytest.approx([0.5, 2.0])
 
 
@@ -158,13 +162,13 @@
         f.until(n * 0.25)
         while f.called:
             a = f.called.pop()
-            f.node.ended(f.now, a, Outcome.CANCELLED, 0.3, not a.task.open, None)
-        task = f.task(f"t{n}")
-        if task.assignments and task.assignments[0].executor.ref != "hung":
+            f.node.attempt_ended(f.now, a, Outcome.CANCELLED, 0.3, not a.request.is_open, None)
+        request = f.request(f"t{n}")
+        if request.attempts and request.attempts[0].executor.ref != "hung":
             f.now += 0.02
-            f.start(task)
+            f.start(request)
             f.now += 0.1
-            f.end(task, Outcome.FINISHED)
+            f.end(request, Outcome.COMPLETED)
     f.lines = [line for line in f.lines if "hung" in line]
     f.compare("silent")
 
@@ -174,12 +178,12 @@
     f.hear("good", "bad", "other")
     for n in range(20):
         f.until(n * 0.1)
-        task = f.task(f"t{n}")
+        request = f.request(f"t{n}")
         for number in range(5):
-            if number < len(task.assignments) and task.open:
-                bad = task.assignments[number].executor.ref == "bad"
+            if number < len(request.attempts) and request.is_open:
+                bad = request.attempts[number].executor.ref == "bad"
                 f.now += 0.0 if bad else 0.1
-                f.end(task, Outcome.ERROR if bad else Outcome.FINISHED, number)
+                f.end(request, Outcome.ERROR if bad else Outcome.COMPLETED, number)
     assert sum("to bad" in line for line in f.lines) == 2
 
 
@@ -187,16 +191,16 @@
     f = Fake()
     f.hear("A", "B", "C", "D")
     for name in "ABC":
-        task = f.task(name)
-        where = task.assignments[0].executor
-        f.node.ended(f.now, task.assignments[0], Outcome.NO_CONNECTION, 0.25, False, None)
+        request = f.request(name)
+        where = request.attempts[0].executor
+        f.node.attempt_ended(f.now, request.attempts[0], Outcome.CONNECT_FAILED, 0.25, False, None)
         assert where.away_until > f.now
 
 
 def test_hopeless_waiting_is_answered_at_once():
-    f = Fake(offerings=[offering(IDEMPOTENT), offering(SIDE_EFFECTING)])
+    f = Fake(request_classes=[request_class(IDEMPOTENT), request_class(SIDE_EFFECTING)])
     f.hear("A", slots=1)
-    f.task("one"), f.task("two", kind=1)
+    f.request("one"), f.request("two", kind=1)
     f.until(3.0)
     f.compare("hopeless")
 
@@ -205,24 +209,24 @@
     f = Fake()
     f.hear("A", "B", slots=1)
     for n in range(12):
-        f.task(f"t{n}", 0.2)
+        f.request(f"t{n}", 0.2)
     f.compare("overload")
 
 
 def test_lag_of_the_fleet_is_believed_of_executors_not_met():
     f = Fake()
     f.hear("A", "B")
-    task = f.task("t", 0.2)
+    request = f.request("t", 0.2)
     f.until(0.4)
-    f.start(task)
-    other = f.executors["B" if task.assignments[0].executor.ref == "A" else "A"]
-    assert 0.0 < f.node._wait(f.now, other, 1.0) < f.node._wait(f.now, task.assignments[0].executor, 1.0)
+    f.start(request)
+    other = f.executors["B" if request.attempts[0].executor.ref == "A" else "A"]
+    assert 0.0 < f.node._wait(f.now, other, 1.0) < f.node._wait(f.now, request.attempts[0].executor, 1.0)
 
 
 def test_own_work_in_reports_is_not_counted_as_others():
     f = Fake(tells_start=False)
     f.hear("A", slots=4)
-    f.task("one"), f.task("two")
+    f.request("one"), f.request("two")
     a = f.executors["A"]
     for n in range(60):
         a.report(n, {"held": 2.0, "free_slots": 2.0}, 1.0)
@@ -236,25 +240,25 @@
 def test_cold_samples_and_queued_samples_do_not_slow_an_executor():
     f = Fake(tells_start=False)
     f.hear("A", slots=1)
-    a, one = f.executors["A"], f.task("one", 0.2)
-    two = f.task("two", 0.2)
+    a, one = f.executors["A"], f.request("one", 0.2)
+    two = f.request("two", 0.2)
     f.until(0.2)
-    f.end(one, Outcome.FINISHED)
+    f.end(one, Outcome.COMPLETED)
     f.until(0.4)
-    f.end(two, Outcome.FINISHED)
+    f.end(two, Outcome.COMPLETED)
     assert a.speed == pytest.approx(1.0)
     a.came_up, a.cold_until = f.now, f.now + 10.0
     f.node.capacity, f.node.offered = 0.0001, 0.0  # its draw lets it go there
-    three = f.task("three", 0.05)
+    three = f.request("three", 0.05)
     f.until(0.4 + 0.05 / 0.2)
-    f.end(three, Outcome.FINISHED)
+    f.end(three, Outcome.COMPLETED)
     assert a.speed == pytest.approx(1.0, abs=0.05)
 
 
 def test_list_is_asked_for_again_after_a_break():
     f = Fake(must_ask=True)
     f.until(0.1)
-    f.node.list_broken(f.now)
+    f.node.endpoint_list_failed(f.now)
     f.until(3.0)
     f.compare("watch")
 
@@ -274,9 +278,9 @@
             self.seen[f], self.calls, self.free = len(f.lines), self.calls + 1, max(self.free, now) + 0.12
             if self.free <= now + 2.0:
                 self.told[number] = self.free
-                f.set_timer(self.free, lambda at, _, node=f.node: node.list_heard(at), None)
+                f.set_timer(self.free, lambda at, _, node=f.node: node.endpoint_list_received(at), None)
             else:
-                f.set_timer(now + 2.0, lambda at, _, node=f.node: node.list_broken(at), None)
+                f.set_timer(now + 2.0, lambda at, _, node=f.node: node.endpoint_list_failed(at), None)
 
 
 def test_many_nodes_spread_their_calls_for_lists():
@@ -307,7 +311,7 @@
             f.until(f.now + 0.01)
         times.append(f.now)
         f.lines.clear()
-        f.node.list_broken(f.now)
+        f.node.endpoint_list_failed(f.now)
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     # Each pause, with the call after it, is over before what the service has since counts as told.
     assert all(0.9 < gap < 3.1 for gap in gaps) and max(gaps) + CONNECT_TIME + CALL_TIME < 6.0
@@ -323,7 +327,7 @@
         for n, quiet in enumerate(silent):
             began = f.now
             f.lines.clear()
-            f.node.list_broken(f.now, silent=quiet)
+            f.node.endpoint_list_failed(f.now, silent=quiet)
             while not f.lines:
                 f.until(f.now + 0.01)
             longest[n] = max(longest[n], f.now - began)
@@ -361,10 +365,10 @@
     comes back cold would be pushed over."""
     times, seeds = [], Random(1)  # a node's seed has 64 bits; small ones in a row give draws alike
     for number in range(40):
-        f = Fake(own_number=number, nodes=40, offerings=[offering(due=60.0, expiry=90.0)])
+        f = Fake(own_number=number, nodes=40, request_classes=[request_class(due=60.0, deadline=90.0)])
         f.node.seed = seeds.getrandbits(64)
         f.hear("A", "B", "C")
-        f.end(f.task("t"), Outcome.NO_CONNECTION)
+        f.end(f.request("t"), Outcome.CONNECT_FAILED)
         lost = next(e for e in f.node.executors if e.away_until)
         times.append(lost.away_until)
     assert 3.0 <= min(times) < 3.5 and 5.5 < max(times) <= 6.0
@@ -407,88 +411,90 @@
 def test_a_copy_that_waits_too_leaves_the_first_its_place_in_the_queue():
     """Called off when the copy went out, the first lost its place, and the copy began at the end of another
     queue: of a hundred such moves twenty-one ended in time, and each closed a connection."""
-    f = Fake(offerings=[offering(due=0.8)])
+    f = Fake(request_classes=[request_class(due=0.8)])
     f.hear("A", "B")
-    task = f.task("t", 0.1)
+    request = f.request("t", 0.1)
     f.until(0.6)
-    first, copy = task.assignments
-    assert first.out and copy.out and not f.called
-    f.start(task, 0)
+    first, copy = request.attempts
+    assert first.is_in_flight and copy.is_in_flight and not f.called
+    f.start(request, 0)
     assert f.called == [copy]
 
 
 def test_what_cannot_be_repeated_comes_last_to_an_executor_that_erred_at_a_peer():
     """A node with a task a second met each erring executor itself before it knew, at 40 nodes dozens of
     times; a side-effecting task that errs is lost."""
-    f = Fake(nodes=40, peers=True, offerings=[offering(Effect.SIDE_EFFECTING), offering()])
+    f = Fake(
+        nodes=40, peers=True, request_classes=[request_class(Idempotency.NON_IDEMPOTENT), request_class()]
+    )
     f.hear("A", "B")
     f.executors["A"].idle = 1  # would be the choice of all
     f.node.handshake = 0.1
-    f.node.peer_warned(f.now, f.executors["A"])
-    assert f.task("act").assignments[0].executor is f.executors["B"]
-    assert f.task("read", kind=1).assignments[0].executor is f.executors["A"]
+    f.node.peer_reported_failure(f.now, f.executors["A"])
+    assert f.request("act").attempts[0].executor is f.executors["B"]
+    assert f.request("read", kind=1).attempts[0].executor is f.executors["A"]
     f.executors["B"].away_until = 9.0
-    assert f.task("last", budget=9.0).assignments[0].executor is f.executors["A"]  # none other is left
+    assert f.request("last", budget=9.0).attempts[0].executor is f.executors["A"]  # none other is left
     lone = Fake(nodes=6, peers=True)
     lone.hear("A")
     for fake, warned in ((f, True), (lone, False)):
-        fake.end(fake.task("bad", kind=fake is f), Outcome.ERROR)
+        fake.end(fake.request("bad", kind=fake is f), Outcome.ERROR)
         assert any("warn of A" in line for line in fake.lines) == warned
 
 
 def test_executors_not_met_yet_have_the_speed_and_slots_of_their_kind():
     """A node with two tasks a second has no end from most of dozens of executors: all at speed 1 and with
     one slot, it took the slow ones for fast, and four in five of the late answers came from that."""
-    f = Fake(offerings=[offering(due=5.0, expiry=9.0)])
+    f = Fake(request_classes=[request_class(due=5.0, deadline=9.0)])
     f.hear("A", "B", "C", slots=1)
-    task = f.task("t", 0.3)
+    request = f.request("t", 0.3)
     f.until(0.01)
-    f.start(task)
-    met = task.assignments[0].executor
+    f.start(request)
+    met = request.attempts[0].executor
     met.slots = 3
     f.until(0.6)
-    f.end(task, Outcome.FINISHED)
+    f.end(request, Outcome.COMPLETED)
     f.until(1.5)
     others = [executor for executor in f.executors.values() if executor is not met]
     assert all(0.6 < executor.speed < 0.8 and executor.slots == 3 for executor in others)
 
 
 def test_a_copy_leaves_the_first_assignment_running():
-    f = Fake(offerings=[offering(due=5.0, expiry=9.0)], tells_start=False, may_probe=False)
+    f = Fake(request_classes=[request_class(due=5.0, deadline=9.0)], tells_start=False, may_probe=False)
     f.hear("A", "B")
-    task = f.task("t", 0.3)
+    request = f.request("t", 0.3)
     for executor in f.executors.values():
         executor.speed, executor.met = 2.0, 1
     f.until(5.4)
-    assert [a.out for a in task.assignments] == [True, True] and not f.called
+    assert [a.is_in_flight for a in request.attempts] == [True, True] and not f.called
 
 
-@pytest.mark.parametrize("how, aside", [(Outcome.ERROR, True), (Outcome.BROKEN, False)])
+@pytest.mark.parametrize("how, aside", [(Outcome.ERROR, True), (Outcome.CONNECTION_LOST, False)])
 def test_two_breaks_may_be_the_networks_but_two_errors_are_the_executors(how, aside):
     f = Fake()
     f.hear("A", "B", "C", "D")
-    tasks = [f.task(f"t{n}") for n in range(8)]
-    for task in tasks:
-        if task.assignments[0].executor.ref == "A":
-            f.end(task, how)
-    assert sum(task.assignments[0].executor.ref == "A" for task in tasks) == 2
+    requests = [f.request(f"t{n}") for n in range(8)]
+    for request in requests:
+        if request.attempts[0].executor.ref == "A":
+            f.end(request, how)
+    assert sum(request.attempts[0].executor.ref == "A" for request in requests) == 2
     assert (f.executors["A"].away_until > f.now) is aside
 
 
 def test_what_cannot_end_while_its_client_waits_is_bounced_at_once():
     f = Fake()
     f.hear("A")
-    task = f.task("t", cost=1.0, budget=0.5)
-    assert not task.open and not task.assignments and "bounce" in f.lines[-1]
-    assert f.task("u", cost=0.3, budget=0.5).assignments
+    request = f.request("t", cost=1.0, budget=0.5)
+    assert not request.is_open and not request.attempts and "bounce" in f.lines[-1]
+    assert f.request("u", cost=0.3, budget=0.5).attempts
 
 
 def test_sizes_from_the_list_and_wide_tasks_fill_slots_where_nothing_is_reported():
     f = Fake(sized=True, reports="off")
     a = f.node.new_executor("A", 0, 0, 0, 4.0)
-    f.node.heard(0.0, a, Condition.READY, 0.0)
-    f.node.list_heard(0.0)
-    assert f.task("wide", 0.2, slots=2.0).assignments and (a.slots, a.held) == (4.0, 2.0)
+    f.node.endpoint_changed(0.0, a, EndpointState.READY, 0.0)
+    f.node.endpoint_list_received(0.0)
+    assert f.request("wide", 0.2, slots=2.0).attempts and (a.slots, a.held) == (4.0, 2.0)
     assert a.work == pytest.approx(0.4)
     assert f.node._wait(0.0, a, 2.0) == 0.0 < f.node._wait(0.0, a, 4.0)
     assert Fake().node.new_executor("B", 0, 0, 0, 4.0).slots == 1.0  # of sizes that mean nothing
@@ -499,26 +505,26 @@
     f.hear("near", "next")
     f.hear("far", zone=1)
     for n in range(2):
-        task = f.task(f"late{n}")
+        request = f.request(f"late{n}")
         f.until(f.now + 0.2)
-        f.start(task)
-        f.end(task, Outcome.FINISHED)
-    assert f.task("t").assignments[0].executor.ref == "far"
+        f.start(request)
+        f.end(request, Outcome.COMPLETED)
+    assert f.request("t").attempts[0].executor.ref == "far"
 
 
 def test_without_copies_a_task_that_waits_is_called_off_and_placed_on_the_outcome_within_a_budget():
-    f = Fake(copies=False, reports="off", offerings=[offering(), offering(SIDE_EFFECTING)])
+    f = Fake(copies=False, reports="off", request_classes=[request_class(), request_class(SIDE_EFFECTING)])
     f.hear("A", "B", "C", "D")
-    tasks = [f.task(f"t{n}") for n in range(5)] + [f.task("once", kind=1)]
+    requests = [f.request(f"t{n}") for n in range(5)] + [f.request("once", kind=1)]
     f.node.moves = 2.0
     f.until(0.4)
-    assert len(f.called) == 2 and all(a.task.offering.effect is IDEMPOTENT for a in f.called)
-    for task in tasks:
-        assert len(task.assignments) == 1 and task.still_out == 1  # never two out
-    moved = f.called[0].task
+    assert len(f.called) == 2 and all(a.request.request_class.idempotency is IDEMPOTENT for a in f.called)
+    for request in requests:
+        assert len(request.attempts) == 1 and request.in_flight == 1  # never two out
+    moved = f.called[0].request
     f.end(moved, Outcome.CANCELLED)
-    assert [a.out for a in moved.assignments] == [False, True]
-    f.node._give_up(f.now, tasks[-1])
+    assert [a.is_in_flight for a in moved.attempts] == [False, True]
+    f.node._give_up(f.now, requests[-1])
     assert f.node.moves == 0.0
 
 
@@ -533,7 +539,7 @@
             f.hear("cold", came_up=100.0 - age * 10.0, slots=4)
             for warm in f.node.near[:9]:
                 warm.full_until = 200.0  # nothing else to go to: the most tempting it can be
-            sent[age] += sum(bool(f.task(f"t{n}", 0.1).assignments) for n in range(20))
+            sent[age] += sum(bool(f.request(f"t{n}", 0.1).attempts) for n in range(20))
     assert 0.5 * 0.022 < sent[0.0] / 1200 < 2 * 0.022  # 0.2 of 9.2
     assert 0.5 * 0.062 < sent[0.5] / 1200 < 2 * 0.062  # 0.6 of 9.6
 
@@ -549,11 +555,11 @@
         f.hear("back", came_up=100.0, zone=number % 3 == 0)
         for n in range(60):
             f.until(f.now + 0.5)
-            task = f.task(f"t{n}", 0.05)
-            if task.assignments[0].executor.ref == "back":
+            request = f.request(f"t{n}", 0.05)
+            if request.attempts[0].executor.ref == "back":
                 needed.append(n)
                 break
-            f.end(task, Outcome.FINISHED)
+            f.end(request, Outcome.COMPLETED)
     assert len(needed) == 30 and max(needed) == 0
     assert not f.executors["back"].unused  # and the next one is drawn for again
 
@@ -567,7 +573,7 @@
         f.until(100.0)
         f.hear(*(f"warm{n}" for n in range(9)), slots=4)
         f.hear("cold", came_up=100.0, slots=4)
-        sent += f.task("t", 0.1).assignments[0].executor.ref == "cold"
+        sent += f.request("t", 0.1).attempts[0].executor.ref == "cold"
     assert sent <= 4  # 0.022 of the tasks by the draw, and no more
 
 
@@ -575,45 +581,50 @@
     f = Fake(reports="off", tells_start=False)
     f.until(100.0)
     f.hear("cold", came_up=100.0, slots=1)
-    assert not f.task("heavy", 0.2).assignments and f.task("light", 0.1).assignments
-    assert not f.task("second", 0.1).assignments
+    assert not f.request("heavy", 0.2).attempts and f.request("light", 0.1).attempts
+    assert not f.request("second", 0.1).attempts
 
 
 def test_what_earns_little_for_its_work_may_wait_only_that_part_of_its_slack():
-    dear = offering(SIDE_EFFECTING, due=1.0)
-    cheap = offering(due=9.0, expiry=30.0)
-    dear.importance, cheap.importance = 10.0, 1.0
-    f = Fake(offerings=[dear, cheap], reports="off")
+    dear = request_class(SIDE_EFFECTING, due=1.0)
+    cheap = request_class(due=9.0, deadline=30.0)
+    dear.priority_weight, cheap.priority_weight = 10.0, 1.0
+    f = Fake(request_classes=[dear, cheap], reports="off")
     f.hear("A", slots=1)
-    answered = [f.task(f"t{n}", 1.0, kind=n % 2).assignments != [] for n in range(8)]
+    answered = [f.request(f"t{n}", 1.0, kind=n % 2).attempts != [] for n in range(8)]
     assert answered[0] and not answered[7]  # its slack of ten seconds is long, and not used up
     assert f.executors["A"].work < 4.0
 
 
 def test_an_unmarked_retry_is_due_by_its_first_try():
     for marked, late in ((True, 1.2), (False, 0.2)):
-        f = Fake(marked=marked, offerings=[offering(due=1.0)])
+        f = Fake(marked=marked, request_classes=[request_class(due=1.0)])
         f.hear("A")
-        f.task("first")
-        assert f.task("second", budget=4.0).due == pytest.approx(late)
+        f.request("first")
+        assert f.request("second", budget=4.0).objective_at == pytest.approx(late)
 
 
 def test_a_tenant_is_not_judged_by_a_mean_part_that_this_node_may_exceed():
     """Traffic is uneven over many nodes, and reports show a part of it late: every fifth task of tenants far
     within their shares was taken for one beyond, and bounced where any wait was expected."""
-    f = Fake(beyond_share=0.1, nodes=40, tenants=[Tenant(80.0)], offerings=[offering(due=50.0, expiry=90.0)])
+    f = Fake(
+        beyond_share=0.1,
+        nodes=40,
+        tenants=[Tenant(80.0)],
+        request_classes=[request_class(due=50.0, deadline=90.0)],
+    )
     f.hear(*(f"e{n}" for n in range(30)), slots=8)
     values = []
     for n in range(120):  # five a second, where the mean node may have two
         f.until(n * 0.2)
-        values.append(f.task(f"t{n}", 0.1).value)
+        values.append(f.request(f"t{n}", 0.1).value)
     assert min(values) > 0.1
 
 
 def test_a_tenant_with_a_task_a_second_at_this_node_is_not_judged_by_chance():
     f = Fake(beyond_share=0.1, nodes=50)
     f.hear("A", "B")
-    assert [f.task(f"t{n}").value < 0.1 for n in range(7)] == [False] * 5 + [True] * 2
+    assert [f.request(f"t{n}").value < 0.1 for n in range(7)] == [False] * 5 + [True] * 2
 
 
 def test_a_cut_zone_is_found_out_once_and_tried_again():
@@ -623,42 +634,42 @@
     zone = f.executors["off"].zone
     for name in ("far", "far", "away", "off"):
         assert not zone.away_until  # one crashed executor, met again, does not make its zone unreachable
-        task = f.task("t")
-        task.assignments[0].executor = f.executors[name]
-        f.node._judge(f.now, task.assignments[0], Outcome.NO_CONNECTION, 0.25)
+        request = f.request("t")
+        request.attempts[0].executor = f.executors[name]
+        f.node._judge(f.now, request.attempts[0], Outcome.CONNECT_FAILED, 0.25)
     assert f.now + 3.0 <= zone.away_until <= f.now + 6.0 and not f.node.zone.away_until
     f.executors["near"].away_until = 9.0
-    assert not f.task("during").assignments
+    assert not f.request("during").attempts
     f.until(6.5)
-    assert f.task("after").assignments[0].executor.ref in ("far", "away", "off")
+    assert f.request("after").attempts[0].executor.ref in ("far", "away", "off")
 
 
 @pytest.mark.parametrize("reports, forgets", [("on_probe", True), ("off", False)])
 def test_one_task_far_heavier_than_its_hint_does_not_bar_an_executor_for_ever(reports, forgets):
     """Nothing was in time there any more, so nothing came back that could have shown its true speed."""
-    f = Fake(reports=reports, offerings=[offering(due=0.2, expiry=50.0)])
+    f = Fake(reports=reports, request_classes=[request_class(due=0.2, deadline=50.0)])
     f.hear("a")
     for _ in range(3):
-        task = f.task("t", 0.1)
-        f.start(task)
+        request = f.request("t", 0.1)
+        f.start(request)
         f.until(f.now + 0.1)
-        f.end(task, Outcome.FINISHED)
-    task = f.task("heavy", 0.1)
-    f.start(task)
+        f.end(request, Outcome.COMPLETED)
+    request = f.request("heavy", 0.1)
+    f.start(request)
     f.until(f.now + 8.0)
-    f.end(task, Outcome.FINISHED)
+    f.end(request, Outcome.COMPLETED)
     barred = f.executors["a"]
     assert barred.speed < 0.1
     f.hear("b", "c")
     for number in range(60):
-        task = f.task(f"u{number}", 0.1)
-        f.start(task)
+        request = f.request(f"u{number}", 0.1)
+        f.start(request)
         f.until(f.now + 0.1)
-        f.end(task, Outcome.FINISHED)
+        f.end(request, Outcome.COMPLETED)
         f.until(f.now + 0.4)
     assert (barred.speed > 0.5) is forgets
-    f.hear("b", "c", condition=Condition.DRAINING)
-    assert bool(f.task("last", 0.1).assignments) is forgets
+    f.hear("b", "c", condition=EndpointState.DRAINING)
+    assert bool(f.request("last", 0.1).attempts) is forgets
 
 
 def _keyed(number, names, sizes=None):
@@ -669,14 +680,14 @@
         reports="off",
         tells_start=False,
         copies=False,
-        offerings=[offering(due=50.0, expiry=90.0)],
+        request_classes=[request_class(due=50.0, deadline=90.0)],
     )
     for name in names:
         size, mark = (sizes or {}).get(name, 1.0), crc32(name.encode())
         f.executors[name] = f.node.new_executor(name, 0, 0, 0, size, mark)
         f.executors[name].slots = 2.0
-        f.node.heard(0.0, f.executors[name], Condition.READY, 0.0)
-    f.node.list_heard(0.0)
+        f.node.endpoint_changed(0.0, f.executors[name], EndpointState.READY, 0.0)
+    f.node.endpoint_list_received(0.0)
     return f
 
 
@@ -685,10 +696,10 @@
     found = []
     for n in range(count):
         f.until(f.now + 0.1)
-        task = f.node.task_arrived(f.now, f"t{n}", 0, 0, 90.0, 0.1, 1.0, 0.0, False, key)
-        found.append(task.assignments[0].executor.ref)
+        request = f.node.request_arrived(f.now, f"t{n}", 0, 0, 90.0, 0.1, 1.0, 0.0, False, key)
+        found.append(request.attempts[0].executor.ref)
         f.until(f.now + 0.1)
-        f.end(task, Outcome.FINISHED)
+        f.end(request, Outcome.COMPLETED)
     return found
 
 
@@ -709,7 +720,7 @@
 def test_keys_that_never_come_again_bind_no_task():
     f = _keyed(0, [f"e{n}" for n in range(20)])
     bound = [
-        f.node.task_arrived(f.now, f"t{n}", 0, 0, 90.0, 0.1, 1.0, 0.0, False, b"%d" % n).homes != ()
+        f.node.request_arrived(f.now, f"t{n}", 0, 0, 90.0, 0.1, 1.0, 0.0, False, b"%d" % n).sticky_executors != ()
         for n in range(300)
     ]
     assert any(bound[:20]) and not any(bound[60:])  # they are believed to, until they do not
@@ -718,8 +729,10 @@
 def test_a_key_that_more_tasks_are_about_than_its_executors_bear_goes_elsewhere():
     f = _keyed(0, [f"e{n}" for n in range(20)])
     _given(f, b"hot", 20)
-    tasks = [f.node.task_arrived(f.now, f"h{n}", 0, 0, 90.0, 0.1, 1.0, 0.0, False, b"hot") for n in range(40)]
-    used = {task.assignments[0].executor.ref for task in tasks}
+    requests = [
+        f.node.request_arrived(f.now, f"h{n}", 0, 0, 90.0, 0.1, 1.0, 0.0, False, b"hot") for n in range(40)
+    ]
+    used = {request.attempts[0].executor.ref for request in requests}
     assert len(used) > 10
 
 
@@ -734,18 +747,18 @@
 
 def test_second_copies_are_a_part_of_the_tasks_and_none_while_tasks_are_turned_away():
     """Where a cancel stops nothing each copy adds to the load: unbounded, a burst's queues never ended."""
-    f = Fake(offerings=[offering(due=30.0, expiry=90.0)])
+    f = Fake(request_classes=[request_class(due=30.0, deadline=90.0)])
     f.hear(*(f"e{n}" for n in range(60)), slots=4)
-    tasks = []
+    requests = []
     for n in range(50):  # none of them ever starts, and each would like a copy
         f.until(n * 0.01)
-        tasks.append(f.task(f"t{n}", 0.1))
+        requests.append(f.request(f"t{n}", 0.1))
     f.until(29.0)
-    copies = sum(len(task.assignments) - 1 for task in tasks)
+    copies = sum(len(request.attempts) - 1 for request in requests)
     assert 3 <= copies <= 3 + 0.2 * 50
-    f = Fake(offerings=[offering(due=30.0, expiry=90.0)])
+    f = Fake(request_classes=[request_class(due=30.0, deadline=90.0)])
     f.hear(*(f"e{n}" for n in range(9)), slots=4)
-    task = f.task("waits", 0.1)
-    assert not f.task("hopeless", 200.0).open and f.node.moves == 0.0
+    request = f.request("waits", 0.1)
+    assert not f.request("hopeless", 200.0).is_open and f.node.moves == 0.0
     f.until(16.0)  # beyond half its slack
-    assert len(task.assignments) == 1
+    assert len(request.attempts) == 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,13 +13,13 @@
 from helpers import address_of, post
 from test_service import GET, play
 
-from firwalk.dispatcher.dispatcher import Errand, Place
+from firwalk.dispatcher.dispatcher import Endpoint, PendingRequest
 from firwalk.net.address import parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import LOOKS, READ_AHEAD, Client, Clients
 from firwalk.net.executors import Executors
-from firwalk.net.graceful_shutdown import Stop
+from firwalk.net.graceful_shutdown import GracefulShutdown
 from firwalk.policy.interface import Outcome
 from firwalk.stop_plan import Deadlines
 
@@ -315,15 +315,15 @@
 
     async def run():
         ends = []
-        desk = SimpleNamespace(
-            report_sending=lambda errand, number: True,
-            report_last_byte=lambda errand, number: True,
-            report_start=lambda *_: None,
+        dispatcher = SimpleNamespace(
+            report_sending=lambda pending, number: True,
+            report_committing=lambda pending, number: True,
+            report_started=lambda *_: None,
             report_idle=lambda place, count: None,
-            kept=lambda place: True,
-            report_outcome=lambda errand, number, how, load, result: ends.append(how),
+            keeps_connections_to=lambda place: True,
+            report_outcome=lambda pending, number, how, load, result: ends.append(how),
         )
-        pool = Executors(desk, Budget(64, 10**8), Buffers(), 0.25, 60.0)
+        pool = Executors(dispatcher, Budget(64, 10**8), Buffers(), 0.25, 60.0)
         got = bytearray()
         begun = asyncio.Event()
 
@@ -336,8 +336,8 @@
 
         server = await asyncio.start_server(slow, "127.0.0.1", 0)
         size = 3 * 10**7
-        place = Place("e0", parse(address_of(server)))
-        pool.carry(Errand(), 0, place, b"t1", lambda: b"x" * size)
+        place = Endpoint("e0", parse(address_of(server)))
+        pool.carry(PendingRequest(), 0, place, b"t1", lambda: b"x" * size)
         await begun.wait()
         for _ in range(300):
             if ends:
@@ -411,7 +411,7 @@
             theirs.sendall(post(name=f"t{n}"))
         clients.held, _ = service.listener.accept()  # accepted, and waiting to be let in
         service.accepting = asyncio.create_task(asyncio.sleep(9))
-        assert Stop(service, Deadlines(2.0)).accept_last() and len(clients.open) == 5
+        assert GracefulShutdown(service, Deadlines(2.0)).accept_last() and len(clients.open) == 5
         await asyncio.sleep(0.5)
         for theirs in ends:
             theirs.settimeout(1.0)
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -6,10 +6,10 @@
 import pytest
 from helpers import LIMITS, OFFERINGS
 
-from firwalk.dispatcher.dispatcher import Chore, Desk
-from firwalk.dispatcher.failure_gossip import Marks, mark_of
+from firwalk.dispatcher.dispatcher import BackgroundAction, Dispatcher
+from firwalk.dispatcher.failure_gossip import ExecutorIndex, executor_checksum
 from firwalk.net.listing import read
-from firwalk.policy.interface import Condition, Outcome
+from firwalk.policy.interface import EndpointState, Outcome
 
 SETTINGS = {
     "offerings": OFFERINGS,
@@ -27,14 +27,14 @@
 
     def __init__(self, executors=2, settings=None):
         self.now, self.woken = 1000.0, 0
-        self.desk = Desk(SETTINGS | (settings or {}), 7, lambda: self.now, self.wake)
-        self.hear(*[(f"e{n}", Condition.READY) for n in range(executors)], whole=True)
+        self.dispatcher = Dispatcher(SETTINGS | (settings or {}), 7, lambda: self.now, self.wake)
+        self.hear(*[(f"e{n}", EndpointState.READY) for n in range(executors)], whole=True)
 
     def wake(self):
         self.woken += 1
 
     def hear(self, *heard, whole=False, version=1):
-        self.desk.report_list(
+        self.dispatcher.report_list(
             version,
             whole,
             [
@@ -43,16 +43,16 @@
             ],
         )
 
-    def take(self, offering="read", budget=2.0):
-        return self.desk.report_task(offering, "", budget, 0.01, 1.0, 0.0, False)
+    def take(self, request_class="read", budget=2.0):
+        return self.dispatcher.report_request(request_class, "", budget, 0.01, 1.0, 0.0, False)
 
-    def steps(self, errand):
+    def steps(self, pending):
         """All that can be picked now, by kind."""
 
         async def run():
             found = []
-            while errand.steps or errand.over():
-                step = await asyncio.wait_for(self.desk.pick(errand), 1)
+            while pending.actions or pending.is_finished():
+                step = await asyncio.wait_for(self.dispatcher.next_action(pending), 1)
                 if step is None:
                     return found + ["over"]
                 found.append((step[0].name, step[1]) if len(step) > 1 else step[0].name)
@@ -62,7 +62,7 @@
 
     def until(self, when):
         chores = []
-        while (due := self.desk.tick())[0] <= when:
+        while (due := self.dispatcher.run_due_timers())[0] <= when:
             self.now = max(self.now, due[0])
             chores += due[1]
         self.now = when
@@ -71,131 +71,131 @@
 
 def test_a_list_told_again_is_passed_over_and_what_changed_in_it_is_heard():
     play = Play(executors=3)
-    heard, hear = [], play.desk.node.heard
+    heard, hear = [], play.dispatcher.policy.endpoint_changed
 
     def counted(now, executor, condition, came_up):
         heard.append((executor.ref.name, condition.name))
         hear(now, executor, condition, came_up)
 
-    play.desk.node.heard = counted
-    ready = [(f"e{number}", Condition.READY) for number in range(3)]
+    play.dispatcher.policy.endpoint_changed = counted
+    ready = [(f"e{number}", EndpointState.READY) for number in range(3)]
     play.hear(*ready, whole=True, version=2)
     assert heard == []
-    play.hear(("e0", Condition.DRAINING), *ready[1:], whole=True, version=3)
+    play.hear(("e0", EndpointState.DRAINING), *ready[1:], whole=True, version=3)
     assert heard == [("e0", "DRAINING")]
     play.hear(*ready[1:], whole=True, version=4)  # e0 is not named: gone, and new when it is named again
     play.hear(*ready, whole=True, version=5)
-    assert heard[1:] == [("e0", "GONE"), ("e0", "READY")]
-    play.hear(("e1", Condition.GONE), version=6)
+    assert heard[1:] == [("e0", "REMOVED"), ("e0", "READY")]
+    play.hear(("e1", EndpointState.REMOVED), version=6)
     play.hear(*ready[1:2], version=7)
-    assert heard[3:] == [("e1", "GONE"), ("e1", "READY")]
+    assert heard[3:] == [("e1", "REMOVED"), ("e1", "READY")]
 
 
 def test_a_list_told_again_leaves_out_whom_operators_took_out():
     play = Play(executors=2)
-    play.desk.report_out("e0")
+    play.dispatcher.detach_executor("e0")
     for version in (2, 3):
-        play.hear(("e0", Condition.READY), ("e1", Condition.READY), whole=True, version=version)
-        assert play.desk.places["e0"].condition is Condition.DRAINING
-    play.desk.report_back("e0")
-    play.hear(("e0", Condition.READY), ("e1", Condition.READY), whole=True, version=4)
-    assert play.desk.places["e0"].condition is Condition.READY
+        play.hear(("e0", EndpointState.READY), ("e1", EndpointState.READY), whole=True, version=version)
+        assert play.dispatcher.executors["e0"].condition is EndpointState.DRAINING
+    play.dispatcher.attach_executor("e0")
+    play.hear(("e0", EndpointState.READY), ("e1", EndpointState.READY), whole=True, version=4)
+    assert play.dispatcher.executors["e0"].condition is EndpointState.READY
 
 
 def test_a_warning_travels_by_its_mark_and_what_names_nobody_is_dropped():
     many = {"siblings": 40, "limits": LIMITS}
     told, heard, lone = Play(settings=many), Play(settings=many), Play()
     for p, warns in ((told, True), (lone, False)):
-        p.desk.report_outcome(p.take(), 0, Outcome.ERROR)
-        sent = [chore[1] for chore in p.until(1000.0) if chore[0] is Chore.TELL]
+        p.dispatcher.report_outcome(p.take(), 0, Outcome.ERROR)
+        sent = [chore[1] for chore in p.until(1000.0) if chore[0] is BackgroundAction.TELL]
         assert len(sent) == warns
         for content in (b"", b"\0" * 4, b"\xff" * 256, *sent):
-            heard.desk.report_peer(3, content)
-    warned = [name for name, e in heard.desk.places.items() if e.warned_at == 1000.0]
+            heard.dispatcher.report_peer(3, content)
+    warned = [name for name, e in heard.dispatcher.executors.items() if e.warned_at == 1000.0]
     assert len(warned) == 1
-    assert [name for name, e in told.desk.places.items() if e.warned_at == 1000.0] == warned
+    assert [name for name, e in told.dispatcher.executors.items() if e.warned_at == 1000.0] == warned
 
 
 def test_a_mark_that_two_executors_share_names_neither():
-    marks = Marks()
+    marks = ExecutorIndex()
     marks.add(b"one", 1)
     marks.add(b"two", 2)
-    marks.known[mark_of(b"three")] = 0
+    marks.known[executor_checksum(b"three")] = 0
     marks.add(b"three", 3)
-    assert [marks.find(mark_of(name)) for name in (b"one", b"two", b"three")] == [1, 2, None]
+    assert [marks.find(executor_checksum(name)) for name in (b"one", b"two", b"three")] == [1, 2, None]
 
 
 def test_a_task_from_its_first_step_to_its_result():
     p = Play()
-    errand = p.take()
-    assert p.steps(errand) == [("SEND", 0)]
-    assert p.desk.report_sending(errand, 0) and p.desk.report_last_byte(errand, 0)
-    p.desk.report_start(errand, 0)
-    p.desk.report_outcome(errand, 0, Outcome.FINISHED, {"x0": 1}, b"done")
-    assert p.steps(errand) == [("FINISHED", b"done"), "over"] and not p.desk.open
+    pending = p.take()
+    assert p.steps(pending) == [("SEND", 0)]
+    assert p.dispatcher.report_sending(pending, 0) and p.dispatcher.report_committing(pending, 0)
+    p.dispatcher.report_started(pending, 0)
+    p.dispatcher.report_outcome(pending, 0, Outcome.COMPLETED, {"x0": 1}, b"done")
+    assert p.steps(pending) == [("FINISHED", b"done"), "over"] and not p.dispatcher.open_requests
 
 
 def test_a_time_out_is_called_off_and_answered_before_the_expiry():
     p = Play(executors=1)
-    errand = p.take("act", budget=0.5)
-    p.steps(errand)
-    p.desk.report_last_byte(errand, 0)
-    p.desk.report_start(errand, 0)
+    pending = p.take("act", budget=0.5)
+    p.steps(pending)
+    p.dispatcher.report_committing(pending, 0)
+    p.dispatcher.report_started(pending, 0)
     p.until(1000.49)
-    assert p.steps(errand) == [("CALL_OFF", 0), "ABANDONED", "over"]
-    p.desk.report_outcome(errand, 0, Outcome.FINISHED, None, b"too late")
-    assert p.steps(errand) == ["over"]
+    assert p.steps(pending) == [("CALL_OFF", 0), "ABANDONED", "over"]
+    p.dispatcher.report_outcome(pending, 0, Outcome.COMPLETED, None, b"too late")
+    assert p.steps(pending) == ["over"]
 
 
 def test_nothing_written_by_the_time_out_is_a_bounce():
     p = Play(executors=1)
-    errand = p.take("act", budget=0.5)
+    pending = p.take("act", budget=0.5)
     p.until(1000.49)
-    assert [s[0] for s in p.steps(errand)[:3]] == ["SEND", "CALL_OFF", "BOUNCED"]
+    assert [s[0] for s in p.steps(pending)[:3]] == ["SEND", "CALL_OFF", "BOUNCED"]
 
 
 def test_no_send_begins_once_its_executor_drains_or_its_time_is_over():
     p = Play(executors=1)
     first, second = p.take(budget=0.5), p.take(budget=5.0)
-    p.hear(("e0", Condition.DRAINING))
-    assert not p.desk.report_sending(second, 0)
-    p.hear(("e0", Condition.READY))
-    assert p.desk.report_sending(second, 0)
+    p.hear(("e0", EndpointState.DRAINING))
+    assert not p.dispatcher.report_sending(second, 0)
+    p.hear(("e0", EndpointState.READY))
+    assert p.dispatcher.report_sending(second, 0)
     p.until(1000.6)
-    assert not p.desk.report_sending(first, 0)
+    assert not p.dispatcher.report_sending(first, 0)
 
 
 def test_nothing_of_a_task_is_written_past_its_time_though_no_timer_has_told():
     """The process stood still: what waits for a connection wakes before its timers."""
     p = Play(executors=1)
-    errand, other = p.take(budget=0.5), p.take(budget=0.5)
-    assert p.desk.report_sending(other, 0)
+    pending, other = p.take(budget=0.5), p.take(budget=0.5)
+    assert p.dispatcher.report_sending(other, 0)
     p.now = 1000.6
-    assert errand.task.open and not p.desk.report_sending(errand, 0)
-    assert not p.desk.report_last_byte(other, 0)
+    assert pending.request.is_open and not p.dispatcher.report_sending(pending, 0)
+    assert not p.dispatcher.report_committing(other, 0)
 
 
 @pytest.mark.parametrize("at_last_byte", [False, True])
 def test_the_gate_sees_a_client_that_has_gone_before_its_reader_does(at_last_byte):
     """On a busy node the reader may come to its end later than an attempt to its bytes."""
     p = Play(executors=2)
-    errand = p.take()
+    pending = p.take()
     if at_last_byte:
-        assert p.desk.report_sending(errand, 0)
-    errand.left = lambda: True
-    assert not (p.desk.report_last_byte if at_last_byte else p.desk.report_sending)(errand, 0)
-    assert not errand.task.open and not errand.begun
-    p.desk.report_outcome(errand, 0, Outcome.NOT_SENT)
-    assert [s for s in p.steps(errand) if s[0] == "SEND"] == [("SEND", 0)] and errand.over()
+        assert p.dispatcher.report_sending(pending, 0)
+    pending.has_client_left = lambda: True
+    assert not (p.dispatcher.report_committing if at_last_byte else p.dispatcher.report_sending)(pending, 0)
+    assert not pending.request.is_open and not pending.committed
+    p.dispatcher.report_outcome(pending, 0, Outcome.NOT_SENT)
+    assert [s for s in p.steps(pending) if s[0] == "SEND"] == [("SEND", 0)] and pending.is_finished()
 
 
 def test_no_attempt_begins_with_less_time_than_can_be_told():
     p = Play(executors=1)
-    errand = p.take(budget=0.5)
-    p.now = errand.task.expiry - 0.0005
-    assert not p.desk.report_sending(errand, 0) and not p.desk.report_last_byte(errand, 0)
-    p.now = errand.task.expiry - 0.0015
-    assert p.desk.report_sending(errand, 0)
+    pending = p.take(budget=0.5)
+    p.now = pending.request.deadline - 0.0005
+    assert not p.dispatcher.report_sending(pending, 0) and not p.dispatcher.report_committing(pending, 0)
+    p.now = pending.request.deadline - 0.0015
+    assert p.dispatcher.report_sending(pending, 0)
 
 
 def test_the_gate_asks_again_where_the_executor_came_back_cold_while_its_connection_came_up():
@@ -206,28 +206,28 @@
     let_in = 0
     for seed in range(40):
         p = Play(executors=1, settings=rules)
-        p.desk.node.seed = seed
-        p.hear(*[(f"e{n}", Condition.READY) for n in range(9)], whole=True)
-        errand = p.take()
-        name = errand.task.assignments[0].executor.ref.name
+        p.dispatcher.policy.seed = seed
+        p.hear(*[(f"e{n}", EndpointState.READY) for n in range(9)], whole=True)
+        pending = p.take()
+        name = pending.request.attempts[0].executor.ref.name
         p.now += 0.1
-        p.desk.report_list(
+        p.dispatcher.report_list(
             2,
             False,
             [
                 (
                     name,
-                    errand.task.assignments[0].executor.ref.address,
+                    pending.request.attempts[0].executor.ref.address,
                     "a",
                     "m",
                     0,
-                    Condition.READY,
+                    EndpointState.READY,
                     p.now - 0.05,
                     1.0,
                 )
             ],
         )
-        let_in += p.desk.report_sending(errand, 0)
+        let_in += p.dispatcher.report_sending(pending, 0)
     assert let_in <= 4  # by its draw only, as any other task of the fleet
 
 
@@ -238,45 +238,45 @@
         "generation": 2,
         "instances": [{"instanceId": "e0", "hostPort": "127.0.0.1:1", "zone": "a", "lifecycle": lifecycle}],
     }
-    p.desk.report_list(*read(orjson.dumps(line)))
+    p.dispatcher.report_list(*read(orjson.dumps(line)))
     for _ in range(4):
-        assert p.take().task.assignments[0].executor.ref.name == "e1"
+        assert p.take().request.attempts[0].executor.ref.name == "e1"
 
 
 def test_whole_lists_take_away_and_old_changes_are_dropped():
     p = Play()
-    p.hear(("e1", Condition.READY), whole=True, version=9)
-    p.hear(("e0", Condition.READY), version=8)
-    assert [e.ref.name for e in p.desk.node.near] == ["e1"] and p.desk.version == 9
-    closed = [about[0].name for kind, *about in p.until(p.now) if kind is Chore.CLOSE_IDLE]
+    p.hear(("e1", EndpointState.READY), whole=True, version=9)
+    p.hear(("e0", EndpointState.READY), version=8)
+    assert [e.ref.name for e in p.dispatcher.policy.near] == ["e1"] and p.dispatcher.version == 9
+    closed = [about[0].name for kind, *about in p.until(p.now) if kind is BackgroundAction.CLOSE_IDLE]
     assert closed == ["e0"]
 
 
 def test_a_client_that_left_is_owed_nothing_and_its_assignment_is_called_off():
     p = Play()
-    errand = p.take()
-    p.steps(errand)
-    p.desk.report_gone(errand)
-    assert p.steps(errand) == [("CALL_OFF", 0), "over"] and not p.desk.open
-    assert errand.task.assignments[0].executor.work == 0.0
+    pending = p.take()
+    p.steps(pending)
+    p.dispatcher.report_client_left(pending)
+    assert p.steps(pending) == [("CALL_OFF", 0), "over"] and not p.dispatcher.open_requests
+    assert pending.request.attempts[0].executor.work == 0.0
 
 
 def test_told_to_close_all_is_answered_by_then_and_new_tasks_have_no_longer():
     p = Play(executors=1)
     taken = p.take("act", budget=60.0)
-    p.desk.report_last_byte(taken, 0)
-    p.desk.report_start(taken, 0)
-    p.desk.close_by(p.now + 3.0)
+    p.dispatcher.report_committing(taken, 0)
+    p.dispatcher.report_started(taken, 0)
+    p.dispatcher.set_shutdown_deadline(p.now + 3.0)
     later = p.take("act", budget=60.0)
     p.until(1003.0)
     assert p.steps(taken)[-2:] == ["ABANDONED", "over"]
-    assert p.steps(later)[-1] == "over" and later.task.expiry < 1003.0
+    assert p.steps(later)[-1] == "over" and later.request.deadline < 1003.0
 
 
 def test_the_last_word_goes_to_a_task_that_the_decisions_left_open():
     p = Play(executors=1)
     p.take(budget=0.5)
-    p.desk.node._give_up = lambda *_: None  # decisions that forget to answer
+    p.dispatcher.policy._give_up = lambda *_: None  # decisions that forget to answer
     with pytest.raises(AssertionError, match="final answer"):
         p.until(1001.0)
 
@@ -287,16 +287,19 @@
     before = p.woken
     p.take()
     assert p.woken == before + 1
-    probes = [about for kind, *about in p.until(p.now) if kind is Chore.PROBE]
+    probes = [about for kind, *about in p.until(p.now) if kind is BackgroundAction.PROBE]
     assert probes and all(seconds == 0.5 for _, seconds in probes)
-    p.desk.report_probe(probes[0][0], Outcome.FINISHED, 0.01, {"inflight": 3, "x0": 2, "text": "no"})
-    assert p.desk._words({"inflight": 3, "x0": 2, "text": "no"}) == {"held": 3.0, "free_slots": 2.0}
-    assert p.desk._words("no object") is None
-    assert p.desk._words({"inflight": 1e300, "x0": float("inf"), "util": float("nan"), "queue": -1e9}) == {}
+    p.dispatcher.report_probe(probes[0][0], Outcome.COMPLETED, 0.01, {"inflight": 3, "x0": 2, "text": "no"})
+    assert p.dispatcher._words({"inflight": 3, "x0": 2, "text": "no"}) == {"held": 3.0, "free_slots": 2.0}
+    assert p.dispatcher._words("no object") is None
+    assert (
+        p.dispatcher._words({"inflight": 1e300, "x0": float("inf"), "util": float("nan"), "queue": -1e9})
+        == {}
+    )
 
 
 def test_a_list_that_is_pushed_elsewhere_is_watched_on_sockets():
-    assert (Chore.WATCH, True) in Play(settings={"discovery": "push"}).until(1000.0)
+    assert (BackgroundAction.WATCH, True) in Play(settings={"discovery": "push"}).until(1000.0)
 
 
 def test_an_unknown_offering_is_no_task():
@@ -316,12 +319,12 @@
         "importance": 5.0,
     }
     p = Play(settings={"offerings": [put], "limits": LIMITS | {"second-copies": False}})
-    errand = p.take("put", budget=5.0)
-    assert p.desk.report_sending(errand, 0) and p.desk.report_last_byte(errand, 0)
+    pending = p.take("put", budget=5.0)
+    assert p.dispatcher.report_sending(pending, 0) and p.dispatcher.report_committing(pending, 0)
     p.until(p.now + 0.9)
-    p.desk.report_outcome(errand, 0, Outcome.BROKEN)
-    assert len(errand.task.assignments) == 2
+    p.dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)
+    assert len(pending.request.attempts) == 2
     p.now += late
-    assert p.desk.report_sending(errand, 1) is (late == 0.0)
-    assert p.desk.report_last_byte(errand, 1) is (late == 0.0)
-    assert not p.desk.monitor.violations
+    assert p.dispatcher.report_sending(pending, 1) is (late == 0.0)
+    assert p.dispatcher.report_committing(pending, 1) is (late == 0.0)
+    assert not p.dispatcher.monitor.violations
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -9,7 +9,7 @@
 from test_service import play
 
 from firwalk.net import http, listing
-from firwalk.policy.interface import Condition
+from firwalk.policy.interface import EndpointState
 
 ENTRY = {
     "instanceId": "e0",
@@ -21,7 +21,7 @@
     "startedAtMs": 2000,
     "weight": 2.0,
 }
-READ = ("e0", ("127.0.0.1", 9), "a", "m", 3, Condition.READY, 2.0, 2.0)
+READ = ("e0", ("127.0.0.1", 9), "a", "m", 3, EndpointState.READY, 2.0, 2.0)
 LEFT_OUT = [
     {"instanceId": None},
     {"instanceId": ""},
@@ -37,7 +37,7 @@
     ("zone", [None, 5, [], {}], 2, ""),
     ("machineType", [None, 5, [], {}], 3, ""),
     ("cell", [None, "x", [], {}, inf, nan, -1, 10**30, 1.5], 4, 0),
-    ("lifecycle", [None, "", "away", 5, [], {}], 5, Condition.DRAINING),
+    ("lifecycle", [None, "", "away", 5, [], {}], 5, EndpointState.DRAINING),
     ("startedAtMs", [None, "x", [], inf, nan, -1.0, 1e300], 6, 0.0),
     ("weight", [None, "x", [], inf, nan, -1.0, 1e300], 7, 1.0),
 ]
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -28,20 +28,20 @@
 def test_what_peers_bring_about_is_limited_and_summed_up(lines):
     said, now = lines
     for number in range(2 * log.MOST):
-        log.say(f"line {number}")
-        log.say("line 0")
+        log.log_external(f"line {number}")
+        log.log_external("line 0")
     assert len(said) == log.MOST
     now[0] += 1.0
-    log.say("later")
+    log.log_external("later")
     assert said[log.MOST :] == [f"{2 * log.MOST} times more: line 0", f"{log.MOST} lines left out", "later"]
 
 
 def test_what_the_process_does_itself_is_told_whatever_peers_send(lines):
     said, _ = lines
     for number in range(2 * log.MOST):
-        log.say(f"a client's bytes: {number}")
-    log.report("told to end")
-    log.trouble("running timers", ValueError("x"))
+        log.log_external(f"a client's bytes: {number}")
+    log.log_internal("told to end")
+    log.log_exception("running timers", ValueError("x"))
     assert said[log.MOST] == "told to end" and "error while running timers" in said[log.MOST + 1]
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,104 +8,108 @@
 from test_facade import Play
 from test_service import play
 
-from firwalk.dispatcher.dispatcher import Chore, Step
+from firwalk.dispatcher.dispatcher import Action, BackgroundAction
 from firwalk.dispatcher.maintenance import Maintenance
 from firwalk.net.management import LEAST, places
-from firwalk.policy.interface import Condition, Outcome
+from firwalk.policy.interface import EndpointState, Outcome
 
 COLD = {"guarantees": {"cold-us": 3000000, "cold-from": 0.2, "fall-multiple": 2.5, "tip-after-us": 2000000}}
 
 
-def sent_to(p, errand):
+def sent_to(p, pending):
     """Where it was sent; it is finished, so that the next one finds the executor free."""
-    place = [step[2].name for step in errand.steps if step[0] is Step.SEND][0]
-    p.desk.report_outcome(errand, 0, Outcome.FINISHED)
+    place = [step[2].name for step in pending.actions if step[0] is Action.SEND][0]
+    p.dispatcher.report_outcome(pending, 0, Outcome.COMPLETED)
     return place
 
 
 def test_who_is_out_gets_nothing_whatever_the_list_says():
     p = Play(2)
-    assert p.desk.report_out("e0")
+    assert p.dispatcher.detach_executor("e0")
     news = [
-        [("e0", Condition.READY)],
-        [("e0", Condition.READY), ("e1", Condition.READY)],
-        [("e0", Condition.GONE)],
-        [("e0", Condition.READY)],
+        [("e0", EndpointState.READY)],
+        [("e0", EndpointState.READY), ("e1", EndpointState.READY)],
+        [("e0", EndpointState.REMOVED)],
+        [("e0", EndpointState.READY)],
     ]
     for version, entries in enumerate(news, 2):
         p.hear(*entries, whole=len(entries) > 1, version=version)
         assert [sent_to(p, p.take()) for _ in range(4)] == ["e1"] * 4
-    p.desk.forget_version()
-    p.hear(("e0", Condition.READY), ("e1", Condition.READY), whole=True, version=1)
+    p.dispatcher.reset_list_version()
+    p.hear(("e0", EndpointState.READY), ("e1", EndpointState.READY), whole=True, version=1)
     assert sent_to(p, p.take()) == "e1"
 
 
 def test_what_waits_for_a_connection_to_one_that_is_taken_out_is_not_sent():
     p = Play(1)
-    errand = p.take()
-    assert p.desk.report_sending(errand, 0)
-    p.desk.report_out("e0")
-    assert not p.desk.report_sending(errand, 0)
-    assert not p.desk.kept(p.desk.places["e0"].ref)
-    assert Chore.CLOSE_IDLE in [chore[0] for chore in p.until(p.now)]
+    pending = p.take()
+    assert p.dispatcher.report_sending(pending, 0)
+    p.dispatcher.detach_executor("e0")
+    assert not p.dispatcher.report_sending(pending, 0)
+    assert not p.dispatcher.keeps_connections_to(p.dispatcher.executors["e0"].ref)
+    assert BackgroundAction.CLOSE_IDLE in [chore[0] for chore in p.until(p.now)]
 
 
 @pytest.mark.parametrize(
-    "offering, started, sends", [("read", False, 2), ("read", True, 1), ("act", False, 1)]
+    "request_class, started, sends", [("read", False, 2), ("read", True, 1), ("act", False, 1)]
 )
-def test_what_has_not_begun_there_is_sent_elsewhere_where_the_rules_allow(offering, started, sends):
+def test_what_has_not_begun_there_is_sent_elsewhere_where_the_rules_allow(request_class, started, sends):
     p = Play(2)
-    errand = p.take(offering)
-    place = errand.steps[0][2].name
-    p.desk.report_last_byte(errand, 0)
+    pending = p.take(request_class)
+    place = pending.actions[0][2].name
+    p.dispatcher.report_committing(pending, 0)
     if started:
-        p.desk.report_start(errand, 0)
-    p.desk.report_out(place)
-    sent = [step[2].name for step in errand.steps if step[0] is Step.SEND]
+        p.dispatcher.report_started(pending, 0)
+    p.dispatcher.detach_executor(place)
+    sent = [step[2].name for step in pending.actions if step[0] is Action.SEND]
     assert len(sent) == sends and len(set(sent)) == sends
 
 
 def test_taken_out_twice_one_call_back_undoes_both():
     p = Play(1)
-    assert p.desk.report_out("e0") and p.desk.report_out("e0")
-    assert not p.desk.node.near and not p.desk.node.far
-    assert p.desk.report_back("e0") and p.desk.report_back("e0")
+    assert p.dispatcher.detach_executor("e0") and p.dispatcher.detach_executor("e0")
+    assert not p.dispatcher.policy.near and not p.dispatcher.policy.far
+    assert p.dispatcher.attach_executor("e0") and p.dispatcher.attach_executor("e0")
     assert sent_to(p, p.take()) == "e0"
 
 
 def test_nobody_knows_an_id_that_no_list_had():
     p = Play(1)
-    assert not p.desk.report_out("e7") and not p.desk.report_back("e7") and not p.desk.maintenance.out
-    p.hear(("e0", Condition.GONE))
-    assert p.desk.report_out("e0")
-    p.hear(("e0", Condition.READY), version=3)
-    assert p.desk.places["e0"].condition is Condition.DRAINING
+    assert (
+        not p.dispatcher.detach_executor("e7")
+        and not p.dispatcher.attach_executor("e7")
+        and not p.dispatcher.maintenance.detached
+    )
+    p.hear(("e0", EndpointState.REMOVED))
+    assert p.dispatcher.detach_executor("e0")
+    p.hear(("e0", EndpointState.READY), version=3)
+    assert p.dispatcher.executors["e0"].condition is EndpointState.DRAINING
 
 
 def test_called_back_it_is_cold_with_nothing_old_against_it():
     p = Play(2, COLD)
-    e = p.desk.places["e0"]
+    e = p.dispatcher.executors["e0"]
     e.errors, e.strikes, e.away_until = 0.4, 1, p.now + 60.0
-    p.desk.report_out("e0")
+    p.dispatcher.detach_executor("e0")
     p.until(p.now + 4.0)
-    p.desk.report_back("e0")
-    assert e.condition is Condition.READY and e.cold_until == p.now + 3.0
+    p.dispatcher.attach_executor("e0")
+    assert e.condition is EndpointState.READY and e.cold_until == p.now + 3.0
     assert (e.errors, e.strikes, e.away_until) == (0.0, 0, 0.0)
-    p.hear(("e0", Condition.READY), version=2)  # a list that has not noticed the restart
+    p.hear(("e0", EndpointState.READY), version=2)  # a list that has not noticed the restart
     assert e.came_up == p.now
 
 
 def test_a_later_start_that_the_list_tells_counts_as_told():
     m = Maintenance()
-    m.hear("a", Condition.READY, 5.0)
-    m.take_out("a", 10.0)
-    assert m.hear("a", Condition.READY, 12.0) == (Condition.DRAINING, 12.0)
-    assert m.call_back("a", 20.0) and m.hear("a", Condition.READY, 12.0) == (Condition.READY, 12.0)
-    assert not m.call_back("a", 21.0)
-    m.take_out("a", 30.0)
-    m.call_back("a", 40.0)
-    assert m.hear("a", Condition.READY, 12.0) == (Condition.READY, 40.0)
-    assert m.hear("a", Condition.READY, 50.0) == (Condition.READY, 50.0)
+    m.observe("a", EndpointState.READY, 5.0)
+    m.detach("a", 10.0)
+    assert m.observe("a", EndpointState.READY, 12.0) == (EndpointState.DRAINING, 12.0)
+    assert m.attach("a", 20.0) and m.observe("a", EndpointState.READY, 12.0) == (EndpointState.READY, 12.0)
+    assert not m.attach("a", 21.0)
+    m.detach("a", 30.0)
+    m.attach("a", 40.0)
+    assert m.observe("a", EndpointState.READY, 12.0) == (EndpointState.READY, 40.0)
+    assert m.observe("a", EndpointState.READY, 50.0) == (EndpointState.READY, 50.0)
 
 
 async def call(w, data, pause=0.0):
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -7,7 +7,7 @@
 from helpers import LIMITS, OFFERINGS, World, post
 
 from firwalk import migrate
-from firwalk.config.node_config import check
+from firwalk.config.node_config import validate
 
 OLD = {
     "name": "n0",
@@ -100,8 +100,8 @@
 
 
 def test_settings_that_are_not_known_or_left_out_are_passed_over():
-    check({"settings": {}})
-    check({"settings": {"later": {"word": 1}, "limits": {"word": "x"}, "prices": None}})
+    validate({"settings": {}})
+    validate({"settings": {"later": {"word": 1}, "limits": {"word": "x"}, "prices": None}})
 
 
 def test_what_it_writes_starts_a_node_that_serves_without_second_copies():
--- a/tests/test_monitor.py
+++ b/tests/test_monitor.py
@@ -7,7 +7,7 @@
 
 from firwalk.observability.events import KEPT_EVENTS, Event, EventLog
 from firwalk.observability.monitor import Monitor, Rule
-from firwalk.policy.interface import Effect, Group, Outcome
+from firwalk.policy.interface import DeduplicationScope, Idempotency, Outcome
 
 
 class Story:
@@ -18,9 +18,13 @@
         self.events = EventLog()
         self.monitor = Monitor(self.events, lambda: self.now)
 
-    def take(self, effect=Effect.SIDE_EFFECTING, group=Group.ALL, remembered=3.0):
-        offering = SimpleNamespace(effect=effect, group=group, remembered=remembered)
-        return self.monitor.taken("r1", SimpleNamespace(offering=offering), self.now + 2.0)
+    def take(
+        self, idempotency=Idempotency.NON_IDEMPOTENT, deduplication_scope=DeduplicationScope.ALL, key_ttl=3.0
+    ):
+        request_class = SimpleNamespace(
+            idempotency=idempotency, deduplication_scope=deduplication_scope, key_ttl=key_ttl
+        )
+        return self.monitor.taken("r1", SimpleNamespace(request_class=request_class), self.now + 2.0)
 
     def attempt(self, record, number, outcome=None, commit=True, zone="a", cell=0):
         executor = SimpleNamespace(ref=SimpleNamespace(name=f"e{number}"), zone=zone, cell=cell)
@@ -34,8 +38,8 @@
 def test_a_request_that_goes_well_breaks_nothing():
     story = Story()
     record = story.take()
-    story.attempt(record, 0, Outcome.FULL)
-    story.attempt(record, 1, Outcome.FINISHED)
+    story.attempt(record, 0, Outcome.AT_CAPACITY)
+    story.attempt(record, 1, Outcome.COMPLETED)
     story.monitor.answered(record, 200, "served")
     assert not story.monitor.violations
 
@@ -73,19 +77,19 @@
 
 def non_idempotent_repeated(story):
     record = story.take()
-    story.attempt(record, 0, Outcome.BROKEN)
+    story.attempt(record, 0, Outcome.CONNECTION_LOST)
     story.attempt(record, 1)
 
 
 def repeated_in_another_zone(story):
-    record = story.take(Effect.FINGERPRINTED, Group.ZONE)
-    story.attempt(record, 0, Outcome.BROKEN)
+    record = story.take(Idempotency.KEYED, DeduplicationScope.ZONE)
+    story.attempt(record, 0, Outcome.CONNECTION_LOST)
     story.attempt(record, 1, zone="b")
 
 
 def repeated_when_forgotten(story):
-    record = story.take(Effect.FINGERPRINTED, remembered=0.5)
-    story.attempt(record, 0, Outcome.BROKEN)
+    record = story.take(Idempotency.KEYED, key_ttl=0.5)
+    story.attempt(record, 0, Outcome.CONNECTION_LOST)
     story.now += 0.6
     story.attempt(record, 1)
 
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -9,9 +9,9 @@
 from test_facade import SETTINGS, Play
 from test_service import play, slowly
 
-from firwalk.config.node_config import check_news, needs_restart
-from firwalk.dispatcher.dispatcher import Desk, Step
-from firwalk.policy.interface import Effect, Outcome
+from firwalk.config.node_config import needs_restart, validate_reload
+from firwalk.dispatcher.dispatcher import Action, Dispatcher
+from firwalk.policy.interface import Idempotency, Outcome
 
 CONFIG = {
     "name": "n0",
@@ -24,74 +24,74 @@
 }
 
 
-def changed(**offering):
+def changed(**request_class):
     """The settings with their first offering changed."""
     first, *others = SETTINGS["offerings"]
-    return SETTINGS | {"offerings": [first | offering, *others]}
+    return SETTINGS | {"offerings": [first | request_class, *others]}
 
 
-def kinds(errand):
-    return [step[0] for step in errand.steps]
+def kinds(pending):
+    return [step[0] for step in pending.actions]
 
 
 def test_an_offering_appears_another_vanishes_and_what_stays_keeps_what_it_learnt():
     p = Play()
-    p.desk.report_outcome(p.take(), 0, Outcome.FINISHED)
-    learnt = p.desk.node.offerings[0]
+    p.dispatcher.report_outcome(p.take(), 0, Outcome.COMPLETED)
+    learnt = p.dispatcher.policy.request_classes[0]
     new = SETTINGS | {"offerings": [OFFERINGS[1], OFFERINGS[0], OFFERINGS[0] | {"name": "look"}]}
     assert p.take("look") is None
-    p.desk.report_settings(new)
-    assert Step.SEND in kinds(p.take("look"))
-    assert p.take("act") is None and list(p.desk.vanished) == ["act"]
-    stays = p.desk.node.offerings[p.desk.offerings["read"]]
+    p.dispatcher.report_settings(new)
+    assert Action.SEND in kinds(p.take("look"))
+    assert p.take("act") is None and list(p.dispatcher.removed_classes) == ["act"]
+    stays = p.dispatcher.policy.request_classes[p.dispatcher.request_classes["read"]]
     assert stays is not learnt and (stays.met, stays.finished) == (learnt.met, learnt.finished) == (1, 1)
-    p.desk.report_settings(SETTINGS)
-    assert list(p.desk.vanished) == ["look"] and Step.SEND in kinds(p.take("act"))
+    p.dispatcher.report_settings(SETTINGS)
+    assert list(p.dispatcher.removed_classes) == ["look"] and Action.SEND in kinds(p.take("act"))
 
 
 def test_a_task_under_way_keeps_its_offering_when_that_gets_stricter_or_vanishes():
     for new in (changed(repeat="unsafe"), SETTINGS | {"offerings": OFFERINGS[1:]}):
         p = Play(3)
-        errand = p.take()
-        p.desk.report_last_byte(errand, 0)
-        p.desk.report_settings(new)
-        p.desk.report_outcome(errand, 0, Outcome.BROKEN)  # it may have run, and may run again
-        assert kinds(errand).count(Step.SEND) == 2
+        pending = p.take()
+        p.dispatcher.report_committing(pending, 0)
+        p.dispatcher.report_settings(new)
+        p.dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)  # it may have run, and may run again
+        assert kinds(pending).count(Action.SEND) == 2
     p = Play(3)
-    p.desk.report_settings(changed(repeat="unsafe"))
-    errand = p.take()
-    p.desk.report_last_byte(errand, 0)
-    p.desk.report_outcome(errand, 0, Outcome.BROKEN)
-    assert kinds(errand) == [Step.SEND, Step.ABANDONED]
+    p.dispatcher.report_settings(changed(repeat="unsafe"))
+    pending = p.take()
+    p.dispatcher.report_committing(pending, 0)
+    p.dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)
+    assert kinds(pending) == [Action.SEND, Action.ABANDONED]
 
 
 def test_a_side_effecting_task_under_way_is_not_repeated_when_its_offering_gets_laxer():
     p = Play(3, changed(repeat="unsafe"))
-    errand = p.take()
-    p.desk.report_last_byte(errand, 0)
-    p.desk.report_settings(changed(repeat="safe"))
-    assert p.desk.node.offerings[0].effect is Effect.IDEMPOTENT
-    p.desk.report_outcome(errand, 0, Outcome.BROKEN)
-    assert kinds(errand) == [Step.SEND, Step.ABANDONED]
+    pending = p.take()
+    p.dispatcher.report_committing(pending, 0)
+    p.dispatcher.report_settings(changed(repeat="safe"))
+    assert p.dispatcher.policy.request_classes[0].idempotency is Idempotency.IDEMPOTENT
+    p.dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)
+    assert kinds(pending) == [Action.SEND, Action.ABANDONED]
 
 
 @pytest.mark.parametrize("before, after, sends", [(5, 2, 2), (2, 5, 2), (5, 5, 4)])
 def test_of_two_numbers_of_assignments_the_stricter_holds(before, after, sends):
     p = Play(4, {"limits": LIMITS | {"most-assignments": before}})
-    errand = p.take()
-    p.desk.report_settings(SETTINGS | {"limits": LIMITS | {"most-assignments": after}})
+    pending = p.take()
+    p.dispatcher.report_settings(SETTINGS | {"limits": LIMITS | {"most-assignments": after}})
     for number in range(4):
-        if number < len(errand.task.assignments):
-            p.desk.report_outcome(errand, number, Outcome.FULL)
-    assert len(errand.task.assignments) == sends
+        if number < len(pending.request.attempts):
+            p.dispatcher.report_outcome(pending, number, Outcome.AT_CAPACITY)
+    assert len(pending.request.attempts) == sends
 
 
 def test_a_good_file_cut_short_at_any_byte_is_turned_down():
     text = orjson.dumps(CONFIG)
-    check_news(CONFIG, orjson.loads(text))
+    validate_reload(CONFIG, orjson.loads(text))
     for end in range(len(text)):
         with pytest.raises(ValueError):
-            check_news(CONFIG, orjson.loads(text[:end]))
+            validate_reload(CONFIG, orjson.loads(text[:end]))
 
 
 def paths(part, *before):
@@ -113,7 +113,7 @@
         part = part[key]
     del part[path[-1]]
     with pytest.raises(ValueError, match="missing|no settings"):
-        check_news(CONFIG, config)
+        validate_reload(CONFIG, config)
 
 
 @pytest.mark.parametrize("value", [0, -5, -0.5, 0.0, "5", True, None, [], {}, 1e300])
@@ -129,7 +129,7 @@
         part = part[key]
     part[path[-1]] = value
     with pytest.raises(ValueError, match=str(path[-1])):
-        check_news(CONFIG, config)
+        validate_reload(CONFIG, config)
 
 
 @pytest.mark.parametrize(
@@ -149,21 +149,23 @@
 )
 def test_what_is_no_configuration_is_turned_down(text):
     with pytest.raises(ValueError):
-        check_news(CONFIG, orjson.loads(text))
+        validate_reload(CONFIG, orjson.loads(text))
 
 
 def test_two_offerings_of_one_name_are_turned_down():
     config = copy.deepcopy(CONFIG)
     config["settings"]["offerings"].append(dict(OFFERINGS[0]))
     with pytest.raises(ValueError, match="name of its own"):
-        check_news(CONFIG, config)
+        validate_reload(CONFIG, config)
 
 
 def test_a_start_accepts_what_it_has_accepted():
-    desk = Desk({"offerings": [{"name": "read", "expiry-us": 0}], "limits": {}}, 7, lambda: 0.0, lambda: None)
-    assert desk.node.most == 1
+    dispatcher = Dispatcher(
+        {"offerings": [{"name": "read", "expiry-us": 0}], "limits": {}}, 7, lambda: 0.0, lambda: None
+    )
+    assert dispatcher.policy.max_attempts == 1
     small = {"settings": {"offerings": [{"name": "read", "expiry-us": 5}]}, "discovery": "127.0.0.1:1"}
-    check_news(small, small)  # a file written by hand may stay as small as it is
+    validate_reload(small, small)  # a file written by hand may stay as small as it is
 
 
 def test_what_needs_a_restart_is_named():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,7 +16,7 @@
 from helpers import LIMITS, OFFERINGS, World, address_of, post
 from helpers import Executor as StandIn
 
-from firwalk.dispatcher.dispatcher import Desk, Errand, Place, Step
+from firwalk.dispatcher.dispatcher import Action, Dispatcher, Endpoint, PendingRequest
 from firwalk.net.address import new_socket, parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
@@ -27,7 +27,7 @@
 from firwalk.net.turns import Turns
 from firwalk.net.waiting import connected
 from firwalk.observability.events import CloseReason
-from firwalk.policy.interface import Condition, Outcome
+from firwalk.policy.interface import EndpointState, Outcome
 
 GET = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
 
@@ -258,20 +258,20 @@
     play(story)
 
 
-def desk(ends):
+def dispatcher(ends):
     """What the pool of connections needs of one."""
     return SimpleNamespace(
-        report_sending=lambda errand, number: True,
-        report_last_byte=lambda errand, number: True,
-        report_start=lambda *_: None,
+        report_sending=lambda pending, number: True,
+        report_committing=lambda pending, number: True,
+        report_started=lambda *_: None,
         report_idle=lambda place, count: None,
-        report_outcome=lambda errand, number, how, load, result: ends.append(how),
+        report_outcome=lambda pending, number, how, load, result: ends.append(how),
     )
 
 
 @pytest.mark.parametrize(
     "comes, how",
-    [(b"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", [Outcome.FULL]), (None, [])],
+    [(b"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", [Outcome.AT_CAPACITY]), (None, [])],
 )
 def test_what_comes_before_the_last_byte_is_written(comes, how):
     """An answer then spoils the connection for the next task; a break then proves that nothing ran, and
@@ -280,12 +280,12 @@
     async def run():
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        ends, place = [], Place("e0", ("127.0.0.1", 1))
-        pool = Executors(desk(ends), Budget(64, 10**8), Buffers(), 0.25, 60.0)
+        ends, place = [], Endpoint("e0", ("127.0.0.1", 1))
+        pool = Executors(dispatcher(ends), Budget(64, 10**8), Buffers(), 0.25, 60.0)
         pool.budget.open_link()
         link = Link(pool, place, ours)
         pool.links[link] = None
-        link.exchange = Exchange(pool, Errand(), 0, b"t1")
+        link.exchange = Exchange(pool, PendingRequest(), 0, b"t1")
         writing = asyncio.create_task(link.write(b"x" * 10**7, 0.0, lambda: True))
         await asyncio.sleep(0.05)
         if comes:
@@ -321,11 +321,11 @@
     async def run():
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        pool = Executors(desk([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
+        pool = Executors(dispatcher([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
         pool.budget.open_link()
-        link, asked = Link(pool, Place("e0", ("127.0.0.1", 1)), ours), []
+        link, asked = Link(pool, Endpoint("e0", ("127.0.0.1", 1)), ours), []
         pool.links[link] = None
-        link.exchange = Exchange(pool, Errand(), 0, b"t1")
+        link.exchange = Exchange(pool, PendingRequest(), 0, b"t1")
         writing = asyncio.create_task(link.write(b"a task", 5.0, lambda: asked.append(1) or True))
         await asyncio.sleep(0)
         await asyncio.get_running_loop().run_in_executor(None, theirs.recv, 99)
@@ -337,8 +337,8 @@
 
 
 def test_what_cannot_repeat_is_not_risked_on_a_connection_as_old_as_dead_ones():
-    place, now = Place("e0", ("127.0.0.1", 1)), time.monotonic()
-    pool = Executors(desk([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
+    place, now = Endpoint("e0", ("127.0.0.1", 1)), time.monotonic()
+    pool = Executors(dispatcher([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
     kept = SimpleNamespace(open=True, fresh=lambda: True, idle_since=now - 0.15, idled=0.2)
     for deaths, once, found in ((0, True, kept), (1, True, kept), (2, True, None), (2, False, kept)):
         pool.idle[place] = [kept]
@@ -361,7 +361,7 @@
                 service.turns.soon()
             return service.clock() + 0.02, []
 
-        service.desk = SimpleNamespace(tick=tick)
+        service.dispatcher = SimpleNamespace(run_due_timers=tick)
         service.turns.soon()
         await asyncio.sleep(0.3)
         assert 10 <= len(ticks) <= 24
@@ -374,16 +374,16 @@
 def test_an_assignment_waits_for_a_descriptor_as_long_as_for_a_connection(freed):
     async def run():
         ended = []
-        pool = Executors(desk(ended), Budget(64, 10**8), Buffers(), 0.2, 60.0)
+        pool = Executors(dispatcher(ended), Budget(64, 10**8), Buffers(), 0.2, 60.0)
         pool.budget.links = pool.budget.most
         executor = await StandIn().open()
-        place = Place("e0", parse(executor.address))
-        pool.carry(Errand(), 0, place, b"t1", lambda: post(name="t1"))
+        place = Endpoint("e0", parse(executor.address))
+        pool.carry(PendingRequest(), 0, place, b"t1", lambda: post(name="t1"))
         await asyncio.sleep(0.1)
         assert not ended and not executor.got
         pool.budget.links -= freed
         await asyncio.sleep(0.2)
-        assert ended == [Outcome.FINISHED if freed else Outcome.NOT_SENT] and len(executor.got) == freed
+        assert ended == [Outcome.COMPLETED if freed else Outcome.NOT_SENT] and len(executor.got) == freed
         pool.close_idle(place)
         executor.server.close()
         await asyncio.sleep(0.05)
@@ -614,16 +614,18 @@
     monkeypatch.setattr("firwalk.net.executors.new_socket", fails)
 
     async def run():
-        desk = Desk({"offerings": OFFERINGS, "limits": LIMITS}, 7, time.time, lambda: None)
-        desk.report_list(1, True, [("e0", ("127.0.0.1", 1), "a", "m", 0, Condition.READY, 0.0, 1.0)])
-        executors = Executors(desk, Budget(64, int(1e8)), Buffers(), 0.25, 60.0)
-        errand = desk.report_task("read", "", 2.0, 0.01, 1.0, 0.0, False)
-        step = await desk.pick(errand)
-        executors.carry(errand, step[1], step[2], b"t", lambda: b"bytes")
-        return await asyncio.wait_for(desk.pick(errand), 1), executors.budget.links
+        dispatcher = Dispatcher({"offerings": OFFERINGS, "limits": LIMITS}, 7, time.time, lambda: None)
+        dispatcher.report_list(
+            1, True, [("e0", ("127.0.0.1", 1), "a", "m", 0, EndpointState.READY, 0.0, 1.0)]
+        )
+        executors = Executors(dispatcher, Budget(64, int(1e8)), Buffers(), 0.25, 60.0)
+        pending = dispatcher.report_request("read", "", 2.0, 0.01, 1.0, 0.0, False)
+        step = await dispatcher.next_action(pending)
+        executors.carry(pending, step[1], step[2], b"t", lambda: b"bytes")
+        return await asyncio.wait_for(dispatcher.next_action(pending), 1), executors.budget.links
 
     step, links = asyncio.run(run())
-    assert step[0] is Step.BOUNCED and len(calls) == 2 and links == 0
+    assert step[0] is Action.BOUNCED and len(calls) == 2 and links == 0
 
 
 def test_a_new_configuration_moves_the_list_and_what_is_bad_changes_nothing():
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from firwalk.config.node_config import EFFECTS, GROUPS, check, check_news
-from firwalk.dispatcher.dispatcher import Desk, Step
-from firwalk.policy.interface import Condition, Effect, Group, Outcome
+from firwalk.config.node_config import EFFECTS, GROUPS, validate, validate_reload
+from firwalk.dispatcher.dispatcher import Action, Dispatcher
+from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
 
 SITES = sorted((Path(__file__).parents[1] / "deploy" / "sites").glob("*.toml"))
 MILLI = 1000  # microseconds
@@ -108,12 +108,12 @@
     site = read(path)
     settings = settings_of(site, which)
     config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}
-    check(config)
-    check_news(config, config)
+    validate(config)
+    validate_reload(config, config)
     for number, c in enumerate(site["class"]):
         now = [1000.0]
-        desk = Desk(settings, 7, lambda now=now: now[0], lambda: None)
-        desk.report_list(
+        dispatcher = Dispatcher(settings, 7, lambda now=now: now[0], lambda: None)
+        dispatcher.report_list(
             1,
             True,
             [
@@ -123,33 +123,42 @@
                     site["net"]["zones"][n % 2],
                     settings["kinds"][0],
                     n % 3,
-                    Condition.READY,
+                    EndpointState.READY,
                     0.0,
                     2.0,
                 )
                 for n in range(6)
             ],
         )
-        kind = desk.node.offerings[number]
-        assert (kind.due, kind.expiry) == pytest.approx((c["aim_ms"] / 1e3, c["deadline_ms"] / 1e3))
-        assert (kind.effect, kind.group) == (EFFECTS[c["effect"]], GROUPS[c.get("group", "all")])
+        kind = dispatcher.policy.request_classes[number]
+        assert (kind.latency_objective, kind.deadline) == pytest.approx(
+            (c["aim_ms"] / 1e3, c["deadline_ms"] / 1e3)
+        )
+        assert (kind.idempotency, kind.deduplication_scope) == (
+            EFFECTS[c["effect"]],
+            GROUPS[c.get("group", "all")],
+        )
         tenant = site["tenant"][0]["name"] if "tenant" in site else ""
-        errand = desk.report_task(c["name"], tenant, None, 0.01, 1.0, 0.0, False)
-        first = errand.task.assignments[0].executor
-        desk.report_last_byte(errand, 0)
-        desk.report_outcome(errand, 0, Outcome.BROKEN)  # it may have run
-        again = [a.executor for a in errand.task.assignments[1:]]
-        if kind.effect is Effect.SIDE_EFFECTING:
-            assert not again and errand.steps[-1][0] is Step.ABANDONED
-        elif again and kind.effect is Effect.FINGERPRINTED and kind.group is not Group.ALL:
-            word = "zone" if kind.group is Group.ZONE else "cell"
+        pending = dispatcher.report_request(c["name"], tenant, None, 0.01, 1.0, 0.0, False)
+        first = pending.request.attempts[0].executor
+        dispatcher.report_committing(pending, 0)
+        dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)  # it may have run
+        again = [a.executor for a in pending.request.attempts[1:]]
+        if kind.idempotency is Idempotency.NON_IDEMPOTENT:
+            assert not again and pending.actions[-1][0] is Action.ABANDONED
+        elif (
+            again
+            and kind.idempotency is Idempotency.KEYED
+            and kind.deduplication_scope is not DeduplicationScope.ALL
+        ):
+            word = "zone" if kind.deduplication_scope is DeduplicationScope.ZONE else "cell"
             assert getattr(again[0], word) == getattr(first, word)
-        elif kind.effect is Effect.IDEMPOTENT:
+        elif kind.idempotency is Idempotency.IDEMPOTENT:
             assert len(again) == 1 and again[0] is not first
-        assert len(errand.task.assignments) <= site["allow"]["max_attempts"]
-    assert desk.node.copies == site["allow"]["second_copies"]
+        assert len(pending.request.attempts) <= site["allow"]["max_attempts"]
+    assert dispatcher.policy.copies == site["allow"]["second_copies"]
     advice = site["clients"]["max_retry_after_ms"] / 1e3 if site["allow"]["retry_after"] else 0.0
-    assert desk.node.longest_advice == pytest.approx(advice)
+    assert dispatcher.policy.max_retry_after == pytest.approx(advice)
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -62,17 +62,17 @@
     """When, and how much work, over all nodes; each task runs as fast as the executor can run it."""
     chance, made, sent, running = random.Random(draw), fleet(nodes, draw, began), [], []
     for count, (at, number, work) in enumerate(arrivals(nodes, load, uneven, chance)):
-        for end, f, task in [r for r in running if r[0] <= at]:
+        for end, f, request in [r for r in running if r[0] <= at]:
             f.until(end)
-            f.end(task, Outcome.FINISHED)
+            f.end(request, Outcome.COMPLETED)
         running = [r for r in running if r[0] > at]
         f = made[number]
         f.until(at)
-        task = f.task(f"t{count}", work)
-        if task.assignments:
+        request = f.request(f"t{count}", work)
+        if request.attempts:
             sent.append((at, work))
             warmth = COLD_FROM + (1.0 - COLD_FROM) * (at - 100.0) / COLD_FOR
-            running.append((at + work / warmth, f, task))
+            running.append((at + work / warmth, f, request))
     return sent
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("name", ["ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"])
-@pytest.mark.parametrize("module", ["address", "handover"])
+@pytest.mark.parametrize("module", ["address", "control_channel"])
 def test_sockets_that_cannot_be_had_for_a_moment_do_not_end_a_start(name, module):
     async def story(world):
         code = SHORT_OF_SOCKETS.format(held_s=HELD_S, module=module, number=getattr(errno, name))
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -18,8 +18,8 @@
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import Clients
-from firwalk.net.control_channel import Line, Meeting
-from firwalk.net.hot_restart import Succession
+from firwalk.net.control_channel import ControlChannel, RendezvousSocket
+from firwalk.net.hot_restart import HotRestart
 
 
 class Another:
@@ -273,7 +273,7 @@
         pair = await w.connect()
         work = asyncio.create_task(w.ask(post("/act/k", name="t", X_Deadline="9000m"), pair))
         await w.until(lambda: w.executors[0].got)
-        meeting = Meeting(w.folder.name, "n0", w.config["listen"], lambda line: None)
+        meeting = RendezvousSocket(w.folder.name, "n0", w.config["listen"], lambda line: None)
         line = meeting.call()
         line.say({"hello": 1})
         about, files = await line.next()
@@ -510,8 +510,8 @@
 )
 def test_a_file_that_cannot_be_used_costs_a_line_and_no_more(tmp_path, text, monkeypatch):
     said = []
-    monkeypatch.setattr("firwalk.net.control_channel.say", said.append)
-    meeting = Meeting(str(tmp_path), "n0", "127.0.0.1:1", lambda line: None)
+    monkeypatch.setattr("firwalk.net.control_channel.log_external", said.append)
+    meeting = RendezvousSocket(str(tmp_path), "n0", "127.0.0.1:1", lambda line: None)
     meeting.file.write_bytes(text)
     kept = meeting.kept()
     assert kept == {} or kept["version"] == 1
@@ -525,7 +525,7 @@
 
 def test_descriptors_arrive_beside_their_lines_and_a_full_line_waits():
     async def run():
-        one, two = (Line(sock) for sock in socket.socketpair())
+        one, two = (ControlChannel(sock) for sock in socket.socketpair())
         for number in range(400):
             kept, given = socket.socketpair()
             one.say({"number": number, "fill": "x" * 900}, given, give=True)
@@ -561,7 +561,7 @@
     async def run():
         nonlocal sock
         ours, theirs = socket.socketpair()
-        one, two = Line(ours), Line(theirs)
+        one, two = ControlChannel(ours), ControlChannel(theirs)
         sock, one.sock = one.sock, Full()
         kept, given = socket.socketpair()
         with pytest.raises(OSError):
@@ -582,7 +582,7 @@
 
 def test_a_process_short_of_descriptors_goes_on_handing_over():
     async def run():
-        succession, tries = Succession.__new__(Succession), []
+        succession, tries = HotRestart.__new__(HotRestart), []
         line = SimpleNamespace(open=True)
 
         def now(_):
@@ -614,7 +614,7 @@
         peers.setblocking(False)
         held = peers
         for _ in range(2):  # from the first process to the second, and from that one to the third
-            one, two = (Line(sock) for sock in socket.socketpair())
+            one, two = (ControlChannel(sock) for sock in socket.socketpair())
             one.say({"state": 1}, held)
             _, (held,) = await two.next()
             assert not os.get_blocking(peers.fileno())
@@ -631,7 +631,7 @@
 
     async def run():
         ours, theirs = socket.socketpair()
-        giver, taker = Line(ours), Line(theirs)
+        giver, taker = ControlChannel(ours), ControlChannel(theirs)
         ends = [socket.socketpair() for _ in range(40)]
         loop, turns, over = asyncio.get_running_loop(), [0], []
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -5,7 +5,7 @@
 import pytest
 import uvloop
 
-from firwalk.dispatcher.dispatcher import Chore, Desk
+from firwalk.dispatcher.dispatcher import BackgroundAction, Dispatcher
 from firwalk.net.turns import Turns
 
 
@@ -52,21 +52,21 @@
     ran, steps = [], [0]
 
     def act(loop):
-        desk = Desk({}, 1, loop.time, lambda: turns.soon())
+        dispatcher = Dispatcher({}, 1, loop.time, lambda: turns.soon())
 
         def run():
-            ran.append((steps[0], desk.tick()[1]))
+            ran.append((steps[0], dispatcher.run_due_timers()[1]))
             turns.after(0.001)
 
         turns = Turns(loop, run)
-        desk.set_timer(loop.time(), lambda now, about: desk.note("due"), None)
+        dispatcher.set_timer(loop.time(), lambda now, about: dispatcher.note("due"), None)
 
         def step():
             steps[0] += 1
-            desk.chores.append((Chore.NOTE, "standing"))
-            desk._settle(loop.time())
+            dispatcher.background_actions.append((BackgroundAction.NOTE, "standing"))
+            dispatcher._settle(loop.time())
 
         return step
 
     busy(loop_factory, act)
-    assert [at for at, chores in ran if (Chore.NOTE, "due") in chores] == [2]
+    assert [at for at, chores in ran if (BackgroundAction.NOTE, "due") in chores] == [2]
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -80,14 +80,14 @@
     assert c.DEFER.pack(c.DO_DEFER, 3, 8423802, 77) == bytes.fromhex(
         "32030000007a898000000000004d00000000000000"
     )
-    assert set(c.OUTCOMES.values()) == set(Outcome) - {Outcome.UNFIT}  # an answer of sockets only
+    assert set(c.OUTCOMES.values()) == set(Outcome) - {Outcome.INVALID}  # an answer of sockets only
 
 
 def test_down_and_init_in_one_batch_start_from_nothing():
     data = batch(1, 10, init(), SHEET, TARGETS, ITEM, b"\x14\x03\0\0\0", init())
     wire = Wire(io.BytesIO(data), io.BytesIO())
     wire.run()
-    assert (wire.instances[3].tasks, wire.instances[3].executors) == ({}, {})
+    assert (wire.instances[3].requests, wire.instances[3].executors) == ({}, {})
 
 
 @pytest.mark.parametrize(
