--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -32,7 +32,13 @@
             "importance": 5.0,
         }
     ],
-    "limits": {"most-assignments": 5, "probing": True, "connect-timeout-us": 250000},
+    "limits": {
+        "most-assignments": 5,
+        "probing": True,
+        "connect-timeout-us": 250000,
+        "max-retry-after-us": 2000000,
+        "retry-after": True,
+    },
     "discovery": "ask",
     "resolution-us": 5000,
     "specifics": {"tells-start": True},
@@ -238,18 +244,24 @@
     assert http.answer(status) == first + b"\r\nContent-Length: 0\r\n\r\n"
 
 
-def conversation(sent: bytes, answers: int, how: Outcome | None = None, listed: bool = True) -> bytes:
-    """What a client gets for its bytes, whose task ends so at the executor."""
+def conversation(
+    sent: bytes, answers: int, how: Outcome | None = None, listed: bool = True, gone: bool = False
+) -> bytes:
+    """What a client gets for its bytes, whose task ends so at the executor, if one is on the list. `gone`:
+    new settings have left its offering out. With no outcome the executor says nothing."""
 
     async def run() -> bytes:
         desk = new_desk()
         if listed:
             desk.report_list(1, True, [ENTRY])
+        if gone:
+            desk.report_settings(SETTINGS | {"offerings": [SETTINGS["offerings"][0] | {"name": "get"}]})
 
         def carry(errand, number, place, name, message, once) -> None:
             desk.report_sending(errand, number)
             desk.report_last_byte(errand, number)
-            desk.report_outcome(errand, number, how, None, b"made")
+            if how is not None:
+                desk.report_outcome(errand, number, how, None, b"made")
 
         carrier = SimpleNamespace(carry=carry, call_off=lambda errand, number: None)
         door = clients.Clients(desk, carrier, Budget(64, 10**8), Buffers(), desk.monitor)
@@ -303,14 +315,38 @@
     ("how", "got"),
     [
         (Outcome.FINISHED, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade"),
+        (
+            Outcome.ERROR,
+            b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.005\r\n\r\n",
+        ),
+        (
+            Outcome.FULL,
+            b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.005\r\n\r\n",
+        ),
         (Outcome.UNFIT, b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"),
     ],
 )
 def test_task_that_reaches_an_executor(how, got):
-    """A result, or the executor's word that the task is bad."""
+    """A result, an error of the only executor, its word that it is full, and that the task is bad."""
     assert conversation(TASK, 1, how) == got
 
 
+def test_task_without_an_executor():
+    """Nobody is on the list, and the time is short."""
+    assert (
+        conversation(TASK.replace(b"1500m", b"30m"), 1, listed=False)
+        == b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 2.000\r\n\r\n"
+    )
+
+
+def test_task_of_an_offering_that_is_no_more():
+    """New settings left it out: nothing of it has run, and it may come again."""
+    assert (
+        conversation(TASK, 1, gone=True)
+        == b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 2.000\r\n\r\n"
+    )
+
+
 def test_requests_behind_one_another():
     """A connection that says so ends behind its last answer."""
     sent = TASK + b"GET /_health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
@@ -616,6 +652,21 @@
     ),
     (codec.GIVE_UP, (codec.DO_GIVE_UP, 3, 5), b"\x1e\x03\x00\x00\x00\x05\x00\x00\x00\x00\x00\x00\x00"),
     (codec.CALL_OFF, (codec.DO_CALL_OFF, 3, 5, 1), b"(\x03\x00\x00\x00\x05\x00\x00\x00\x00\x00\x00\x00\x01"),
+    (
+        codec.HAND_OFF,
+        (codec.DO_HAND_OFF, 2**32 - 1, 2**64 - 1, SIX, 2**32 - 1),
+        b"\n\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x02\x03\x04\x05\x06\xff\xff\xff\xff",
+    ),
+    (
+        codec.OVERLOAD_REPLY,
+        (codec.DO_OVERLOAD_REPLY, 2**32 - 1, 2**64 - 1, 2**32 - 1),
+        b"\x14\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff",
+    ),
+    (
+        codec.DEFER,
+        (codec.DO_DEFER, 2**32 - 1, 2**64 - 1, 2**64 - 2),
+        b"2\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xfe\xff\xff\xff\xff\xff\xff\xff",
+    ),
     (
         codec.DEFER,
         (codec.DO_DEFER, 3, 8423802, 77),
