--- a/tests/golden/test_golden_nodes.py
+++ b/tests/golden/test_golden_nodes.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from firwalk import hearsay
-from firwalk.changes import Change
-from firwalk.cluster import budgets, messages, plan, spans, stages, zones
+from firwalk.cluster import messages, node_id_ranges, plan, quotas, rollout, zones
+from firwalk.config.rollout_file import RolloutSpec
+from firwalk.dispatcher import failure_gossip
 
 FLEET, SEAT, LIFE, INCARNATION = 0x2144DF1C, 7, 0xDEADBEEF, 3
 HEAD = b"\x01!D\xdf\x1c\x00\x07\xde\xad\xbe\xef\x00\x00\x00\x03"
@@ -28,8 +28,8 @@
         messages.Ack(300, TERM, [(0, 0, 0, 0)]),
         b"\x94\x02\xcd\x01,\x93\x05\x02\xceI\x96\x02\xd2\x91\x94\x00\x00\x00\x00",
     ),
-    (messages.Ask(1, 65535), b"\x94\x03\x01\xcd\xff\xff\x90"),
-    (messages.Ask(70000, 12, [(9, 2, 77, 2)]), b"\x94\x03\xce\x00\x01\x11p\x0c\x91\x94\t\x02M\x02"),
+    (messages.PingRequest(1, 65535), b"\x94\x03\x01\xcd\xff\xff\x90"),
+    (messages.PingRequest(70000, 12, [(9, 2, 77, 2)]), b"\x94\x03\xce\x00\x01\x11p\x0c\x91\x94\t\x02M\x02"),
     (messages.Nack(42), b"\x92\x04*"),
     (messages.Prepare(TERM), b"\x92\x05\x93\x05\x02\xceI\x96\x02\xd2"),
     (messages.Promise(TERM), b"\x93\x06\x93\x05\x02\xceI\x96\x02\xd2\xc0"),
@@ -56,42 +56,42 @@
     ),
     (messages.Fetch(TERM, 12), b"\x93\x0e\x93\x05\x02\xceI\x96\x02\xd2\x0c"),
     (
-        messages.Evidence(1, 2500, [(0, 10, 1, 0, 35, 2**32 - 1), (65535, 0, 0, 0, 0, 0)]),
+        messages.HealthObservations(1, 2500, [(0, 10, 1, 0, 35, 2**32 - 1), (65535, 0, 0, 0, 0, 0)]),
         (
             b"\x95\x0f\x01\xcd\t\xc4\x92\x96\x00\n\x01\x00#\xce\xff\xff\xff\xff\x96\xcd\xff\xff\x00"
             b"\x00\x00\x00\x00\xc2"
         ),
     ),
-    (messages.Evidence(1, 0, [], True), b"\x95\x0f\x01\x00\x90\xc3"),
-    (messages.Wish(5, "drain", 2), b"\x94\x10\x05\xa5drain\x02"),
-    (messages.Said(5, True, ""), b"\x94\x11\x05\xc3\xa0"),
+    (messages.HealthObservations(1, 0, [], True), b"\x95\x0f\x01\x00\x90\xc3"),
+    (messages.OperatorCommand(5, "drain", 2), b"\x94\x10\x05\xa5drain\x02"),
+    (messages.CommandResult(5, True, ""), b"\x94\x11\x05\xc3\xa0"),
     (
-        messages.Said(5, False, "zone 2 is the last one \u2013 no"),
+        messages.CommandResult(5, False, "zone 2 is the last one \u2013 no"),
         b"\x94\x11\x05\xc2\xbdzone 2 is the last one \xe2\x80\x93 no",
     ),
     (
-        messages.Want(8, LIFE, 0, [(0, 1500000, 0, 2**48), (65535, 0, 3, 0)]),
+        messages.QuotaRequest(8, LIFE, 0, [(0, 1500000, 0, 2**48), (65535, 0, 3, 0)]),
         (
             b"\x97\x12\x08\xce\xde\xad\xbe\xef\x00\x92\x94\x00\xce\x00\x16\xe3`\x00\xcf\x00\x01\x00"
             b"\x00\x00\x00\x00\x00\x94\xcd\xff\xff\x00\x03\x00\x00\x00"
         ),
     ),
-    (messages.Want(8, LIFE, 17, [], 7, 9), b"\x97\x12\x08\xce\xde\xad\xbe\xef\x11\x90\x07\t"),
+    (messages.QuotaRequest(8, LIFE, 17, [], 7, 9), b"\x97\x12\x08\xce\xde\xad\xbe\xef\x11\x90\x07\t"),
     (
-        messages.Grant(8, LIFE, 2000, [(0, 1500000), (3, 0)]),
+        messages.QuotaGrant(8, LIFE, 2000, [(0, 1500000), (3, 0)]),
         b"\x95\x13\x08\xce\xde\xad\xbe\xef\xcd\x07\xd0\x92\x92\x00\xce\x00\x16\xe3`\x92\x03\x00",
     ),
     (
-        messages.Figures(2, 11, 22, 1, 1234, [(LIFE, 100, 1, 2, 3, 4, 105, 98, 2**48, 2**40)]),
+        messages.RolloutMetrics(2, 11, 22, 1, 1234, [(LIFE, 100, 1, 2, 3, 4, 105, 98, 2**48, 2**40)]),
         (
             b"\x98\x14\x02\x0b\x16\x01\xcd\x04\xd2\x91\x9a\xce\xde\xad\xbe\xefd\x01\x02\x03\x04ib"
             b"\xcf\x00\x01\x00\x00\x00\x00\x00\x00\xcf\x00\x00\x01\x00\x00\x00\x00\x00\x00"
         ),
     ),
-    (messages.Figures(2, 11, 22, 1, 65535, [], 4), b"\x98\x14\x02\x0b\x16\x01\xcd\xff\xff\x90\x04"),
-    (messages.Word(6, "dry"), b"\x96\x15\x06\xa3dry\xa0\x00\xa0"),
+    (messages.RolloutMetrics(2, 11, 22, 1, 65535, [], 4), b"\x98\x14\x02\x0b\x16\x01\xcd\xff\xff\x90\x04"),
+    (messages.RolloutCommand(6, "dry"), b"\x96\x15\x06\xa3dry\xa0\x00\xa0"),
     (
-        messages.Word(6, "start", "wider-window", LIFE, "by hand"),
+        messages.RolloutCommand(6, "start", "wider-window", LIFE, "by hand"),
         b"\x96\x15\x06\xa5start\xacwider-window\xce\xde\xad\xbe\xef\xa7by hand",
     ),
 ]
@@ -110,20 +110,20 @@
 
 def test_version_and_head():
     """The head: version, fleet mark, seat, life and incarnation, big endian, 15 bytes."""
-    assert messages.fleet_mark("spruce") == 631394588
+    assert messages.cluster_checksum("spruce") == 631394588
     assert messages.HEAD.pack(messages.VERSION, FLEET, SEAT, LIFE, INCARNATION) == HEAD
 
 
 @pytest.mark.parametrize(("message", "body"), BODIES)
 def test_message_is_written(message, body):
     """A message becomes the head and exactly these bytes."""
-    assert messages.packed(FLEET, SEAT, LIFE, INCARNATION, message) == HEAD + body
+    assert messages.encode(FLEET, SEAT, LIFE, INCARNATION, message) == HEAD + body
 
 
 @pytest.mark.parametrize(("message", "body"), BODIES)
 def test_message_is_read(message, body):
     """These bytes become an equal message again."""
-    assert messages.unpacked(FLEET, HEAD + body) == (SEAT, LIFE, INCARNATION, message)
+    assert messages.decode(FLEET, HEAD + body) == (SEAT, LIFE, INCARNATION, message)
 
 
 def test_every_kind_has_a_sample():
@@ -133,7 +133,7 @@
 
 def test_fields_of_newer_versions_are_passed_over():
     """An array that is longer than the known fields is read up to these."""
-    assert messages.unpacked(FLEET, HEAD + b"\x93\x04\x2a\xa3new") == (
+    assert messages.decode(FLEET, HEAD + b"\x93\x04\x2a\xa3new") == (
         SEAT,
         LIFE,
         INCARNATION,
@@ -144,7 +144,7 @@
 def test_missing_last_fields_take_their_defaults():
     """An array of an older version lacks the fields added since."""
     old = HEAD + b"\x94\x0f\x01\x02\x90"
-    assert messages.unpacked(FLEET, old)[3] == messages.Evidence(1, 2, [], False)
+    assert messages.decode(FLEET, old)[3] == messages.HealthObservations(1, 2, [], False)
 
 
 @pytest.mark.parametrize(
@@ -159,14 +159,14 @@
 )
 def test_unreadable_bytes(data, word):
     """What is no message of this fleet and version is refused with a counted word."""
-    with pytest.raises(messages.Unreadable, match=f"^{word}$"):
-        messages.unpacked(FLEET, data)
+    with pytest.raises(messages.MalformedMessage, match=f"^{word}$"):
+        messages.decode(FLEET, data)
 
 
 def test_news_over_the_limit_are_cut():
     """A datagram has at most 256 bytes: the last news that do not fit are left out."""
     news = [(60000 + number, 2**40, 2**32 - 1, 3) for number in range(16)]
-    data = messages.packed(FLEET, SEAT, LIFE, INCARNATION, messages.Ping(1, TERM, news))
+    data = messages.encode(FLEET, SEAT, LIFE, INCARNATION, messages.Ping(1, TERM, news))
     assert data == (
         b"\x01!D\xdf\x1c\x00\x07\xde\xad\xbe\xef\x00\x00\x00\x03\x94\x01\x01\x93\x05\x02\xceI"
         b"\x96\x02\xd2\x9b\x94\xcd\xea`\xcf\x00\x00\x01\x00\x00\x00\x00\x00\xce\xff\xff\xff\xff"
@@ -203,7 +203,7 @@
 def test_plan_put_together():
     """Pieces in any order make the plan; the mask has a bit for each that is there."""
     first, last = plan.pieces((TERM, 9), PLAN)
-    parts = plan.Parts(last)
+    parts = plan.PlanAssembly(last)
     parts.add(last)
     assert (parts.mask(), parts.whole()) == (0b10, None)
     parts.add(first)
@@ -216,13 +216,13 @@
 )
 def test_spans(seats, text):
     """Seats in few bytes, and the reverse."""
-    assert spans.spelled(seats) == text
-    assert spans.read(text) == seats
+    assert node_id_ranges.encode_ranges(seats) == text
+    assert node_id_ranges.decode_ranges(text) == seats
 
 
 def test_spans_are_sorted():
     """The order of the seats does not matter."""
-    assert spans.spelled([9, 2, 1]) == "1-2,9"
+    assert node_id_ranges.encode_ranges([9, 2, 1]) == "1-2,9"
 
 
 @pytest.mark.parametrize(
@@ -235,8 +235,8 @@
 )
 def test_mark_of_an_executor(name, mark):
     """A warning is the executor's mark alone: the CRC of its name, four bytes, big endian."""
-    assert hearsay.mark_of(name) == mark
-    marks = hearsay.Marks()
+    assert failure_gossip.executor_checksum(name) == mark
+    marks = failure_gossip.ExecutorIndex()
     marks.add(name, "the executor")
     assert marks.find(mark) == "the executor"
     assert marks.find(mark[::-1] + b"!") is None
@@ -244,7 +244,7 @@
 
 def test_section_of_zones():
     """Shares and parts turned away by zone, then mode, step, drained or filed, and losses of each."""
-    whole = zones.Zones(zones.Terms((0, 0, 1), drained=(2,)))
+    whole = zones.Zones(zones.ZonePolicy((0, 0, 1), drained=(2,)))
     whole.all[1].mode, whole.all[1].step, whole.all[1].flaps = zones.Mode.RETURNING, 2, 3
     whole.all[2].drained = whole.all[2].filed = True
     whole.division = zones.Division({0: {0: 0.75, 1: 1 / 3}, 1: {1: 0.00001}}, {0: 0.0, 1: 0.12345678}, True)
@@ -253,7 +253,7 @@
         b'0":{"0":0.75,"1":0.3333},"1":{}}}'
     )
     assert plan.encoded(whole.section()) == text
-    read = zones.Zones(zones.Terms((0, 0, 1)))
+    read = zones.Zones(zones.ZonePolicy((0, 0, 1)))
     read.resume(100.0, msgspec.json.decode(text))
     assert [(zone.mode, zone.step, zone.drained, zone.filed, zone.flaps) for zone in read.all] == [
         (zones.Mode.OPEN, 0, False, False, 0),
@@ -264,20 +264,20 @@
 
 def test_section_of_budgets():
     """Version and checksum of the contracts in force, and of those that a change brings."""
-    old, new = budgets.Offer(3, 0xDEADBEEF, (), ()), budgets.Offer(4, 17, (), ())
-    assert plan.encoded(budgets.section(old)) == b'{"check":3735928559,"version":3}'
+    old, new = quotas.ContractSet(3, 0xDEADBEEF, (), ()), quotas.ContractSet(4, 17, (), ())
+    assert plan.encoded(quotas.section(old)) == b'{"check":3735928559,"version":3}'
     text = b'{"beside":[4,17],"check":3735928559,"version":3}'
-    assert plan.encoded(budgets.section(old, new)) == text
+    assert plan.encoded(quotas.section(old, new)) == text
     told = msgspec.json.decode(text)
-    assert (budgets.in_force(told), budgets.beside(told)) == ((3, 0xDEADBEEF), (4, 17))
+    assert (quotas.in_force(told), quotas.beside(told)) == ((3, 0xDEADBEEF), (4, 17))
 
 
 def test_section_of_stages():
     """A change as its start writes it, and as the next coordinator goes on from it."""
-    change = Change(before="v1", release="v2", stages=["one", "all"])
-    roll = stages.Roll(stages.Terms(), [0], 3, lambda name: (change, 17, []))
+    change = RolloutSpec(before="v1", release="v2", stages=["one", "all"])
+    roll = rollout.Rollout(rollout.RolloutPolicy(), [0], 3, lambda name: (change, 17, []))
     for seat in range(3):
-        figures = messages.Figures(0, V1, 0, seat % 2, 900, [])
+        figures = messages.RolloutMetrics(0, V1, 0, seat % 2, 900, [])
         roll.figures_came(10.0, seat, 1, figures)
     assert roll.start(10.0, "to-v2", 17, [0, 1, 2]) == ""
     text = (
@@ -286,6 +286,6 @@
         b'"ABA"}}'
     )
     assert plan.encoded({"stages": roll.section}) == text
-    heir = stages.Roll(stages.Terms(), [0], 3, lambda name: (change, 17, []))
+    heir = rollout.Rollout(rollout.RolloutPolicy(), [0], 3, lambda name: (change, 17, []))
     heir.resumed(20.0, msgspec.json.decode(text)["stages"])
     assert heir.section == roll.section
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from firwalk import hearsay
-from firwalk.facade import Desk, Errand, Place
-from firwalk.host import Condition, Outcome
+from firwalk.dispatcher import failure_gossip
+from firwalk.dispatcher.dispatcher import Dispatcher, Endpoint, PendingRequest
 from firwalk.net import address, clients, cluster, discovery, executors, fields, http, listing, management
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
+from firwalk.policy.interface import EndpointState, Outcome
 from firwalk.wirehost import codec
 from firwalk.wirehost.__main__ import Wire
 
@@ -55,12 +55,12 @@
     b'{"generation":4,"reset":true,"instances":[{"instanceId":"e1","hostPort":"127.0.0.1:9001","zone":"a",'
     b'"machineType":"m","cell":3,"lifecycle":"active","startedAtMs":1500,"weight":2}]}\n'
 )
-ENTRY = ("e1", ("127.0.0.1", 9001), "a", "m", 3, Condition.READY, 1.5, 2.0)
+ENTRY = ("e1", ("127.0.0.1", 9001), "a", "m", 3, EndpointState.READY, 1.5, 2.0)
 
 
-def new_desk() -> Desk:
+def new_desk() -> Dispatcher:
     """A node's decisions at a time that stands still."""
-    return Desk(SETTINGS, 7, lambda: 1000.0, lambda: None)
+    return Dispatcher(SETTINGS, 7, lambda: 1000.0, lambda: None)
 
 
 async def read_some(sock: socket.socket, enough: Callable[[bytes], bool]) -> bytes:
@@ -116,13 +116,13 @@
 
     async def run() -> None:
         loop, listener, told = asyncio.get_running_loop(), new_listener(), loop_future()
-        place = Place("e1", listener.getsockname())
-        desk = SimpleNamespace(
+        place = Endpoint("e1", listener.getsockname())
+        dispatcher = SimpleNamespace(
             report_probe=lambda place, how, took, load: told.set_result((how, load)),
             report_idle=lambda place, count: None,
-            kept=lambda place: True,
+            keeps_connections_to=lambda place: True,
         )
-        pool = executors.Executors(desk, Budget(64, 10**8), Buffers(), 1.0, 60.0)
+        pool = executors.Executors(dispatcher, Budget(64, 10**8), Buffers(), 1.0, 60.0)
         pool.probe(place, 5.0)
         sock, _ = await loop.sock_accept(listener)
         port = place.address[1]
@@ -130,7 +130,7 @@
             b"GET /_load HTTP/1.1\r\nHost: 127.0.0.1:%d\r\n\r\n" % port
         )
         sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"x0":2}')
-        assert await told == (Outcome.FINISHED, {"x0": 2})
+        assert await told == (Outcome.COMPLETED, {"x0": 2})
         sock.close()
         listener.close()
 
@@ -148,13 +148,13 @@
         (
             b'HTTP/1.1 200 OK\r\nContent-Length: 82\r\n\r\n{"id":"r1","state":"started"}\n'
             b'{"id":"r1","state":"done","result":"made","load":{}}',
-            ["start", (Outcome.FINISHED, {}, b"made")],
+            ["start", (Outcome.COMPLETED, {}, b"made")],
         ),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             b'2d\r\n{"id":"r1","state":"running","share":0.5}\n\n\r\n\r\n'
             b'2b\r\n{"id":"r1","state":"done","result":{"a":1}}\r\n0\r\n\r\n',
-            [0.5, (Outcome.FINISHED, None, b'{"a":1}')],
+            [0.5, (Outcome.COMPLETED, None, b'{"a":1}')],
         ),
         (
             b'HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{"id":"r1","state":"failed"}',
@@ -162,19 +162,19 @@
         ),
         (
             b'HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{"id":"r1","state":"returned"}',
-            [(Outcome.FULL, None, b"")],
+            [(Outcome.AT_CAPACITY, None, b"")],
         ),
         (
             b'HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\n{"id":"r1","state":"lost"}',
-            [(Outcome.BROKEN, None, b"")],
+            [(Outcome.CONNECTION_LOST, None, b"")],
         ),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", [(Outcome.BROKEN, None, b"")]),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", [(Outcome.CONNECTION_LOST, None, b"")]),
         (
             b'HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nX-Load: {"x0":9}\r\nContent-Length: 0\r\n\r\n',
-            [(Outcome.FULL, {"x0": 9}, b"")],
+            [(Outcome.AT_CAPACITY, {"x0": 9}, b"")],
         ),
         (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", [(Outcome.ERROR, None, b"")]),
-        (b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", [(Outcome.UNFIT, None, b"")]),
+        (b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", [(Outcome.INVALID, None, b"")]),
         (b"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", [(Outcome.ERROR, None, b"")]),
         (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", [(Outcome.ERROR, None, b"")]),
     ],
@@ -182,12 +182,14 @@
 def test_answer_of_an_executor(answer, reports):
     """What the decisions are told of an answer's bytes."""
     told = []
-    desk = SimpleNamespace(
-        report_start=lambda errand, number: told.append("start"),
-        report_progress=lambda errand, number, share: told.append(share),
-        report_outcome=lambda errand, number, how, load, result: told.append((how, load, result)),
+    dispatcher = SimpleNamespace(
+        report_started=lambda pending, number: told.append("start"),
+        report_progress=lambda pending, number, share: told.append(share),
+        report_outcome=lambda pending, number, how, load, result: told.append((how, load, result)),
+    )
+    exchange = executors.Exchange(
+        SimpleNamespace(dispatcher=dispatcher, carried={}), PendingRequest(), 0, b"r1"
     )
-    exchange = executors.Exchange(SimpleNamespace(desk=desk, carried={}), Errand(), 0, b"r1")
     parser = http.Answers(exchange.began, exchange.line, lambda keep: exchange.whole())
     parser.feed(memoryview(answer))
     assert told == reports
@@ -251,20 +253,20 @@
     new settings have left its offering out. With no outcome the executor says nothing."""
 
     async def run() -> bytes:
-        desk = new_desk()
+        dispatcher = new_desk()
         if listed:
-            desk.report_list(1, True, [ENTRY])
+            dispatcher.report_list(1, True, [ENTRY])
         if gone:
-            desk.report_settings(SETTINGS | {"offerings": [SETTINGS["offerings"][0] | {"name": "get"}]})
+            dispatcher.report_settings(SETTINGS | {"offerings": [SETTINGS["offerings"][0] | {"name": "get"}]})
 
-        def carry(errand, number, place, name, message, once) -> None:
-            desk.report_sending(errand, number)
-            desk.report_last_byte(errand, number)
+        def carry(pending, number, place, name, message, once) -> None:
+            dispatcher.report_sending(pending, number)
+            dispatcher.report_committing(pending, number)
             if how is not None:
-                desk.report_outcome(errand, number, how, None, b"made")
+                dispatcher.report_outcome(pending, number, how, None, b"made")
 
-        carrier = SimpleNamespace(carry=carry, call_off=lambda errand, number: None)
-        door = clients.Clients(desk, carrier, Budget(64, 10**8), Buffers(), desk.monitor)
+        carrier = SimpleNamespace(carry=carry, call_off=lambda pending, number: None)
+        door = clients.Clients(dispatcher, carrier, Budget(64, 10**8), Buffers(), dispatcher.monitor)
         ours, theirs = socket.socketpair()
         assert door.admit(ours)
         theirs.sendall(sent)
@@ -314,16 +316,16 @@
 @pytest.mark.parametrize(
     ("how", "got"),
     [
-        (Outcome.FINISHED, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade"),
+        (Outcome.COMPLETED, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade"),
         (
             Outcome.ERROR,
             b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.005\r\n\r\n",
         ),
         (
-            Outcome.FULL,
+            Outcome.AT_CAPACITY,
             b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.005\r\n\r\n",
         ),
-        (Outcome.UNFIT, b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"),
+        (Outcome.INVALID, b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"),
     ],
 )
 def test_task_that_reaches_an_executor(how, got):
@@ -350,7 +352,7 @@
 def test_requests_behind_one_another():
     """A connection that says so ends behind its last answer."""
     sent = TASK + b"GET /_health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-    assert conversation(sent, 2, Outcome.FINISHED) == (
+    assert conversation(sent, 2, Outcome.COMPLETED) == (
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmadeHTTP/1.1 200 OK\r\nContent-Length: 0"
         b"\r\nConnection: close\r\n\r\n"
     )
@@ -372,7 +374,7 @@
             },
             b"r1",
             {
-                "offering": "put",
+                "request_class": "put",
                 "tenant": "té",
                 "budget": 0.48,
                 "cost": 0.009,
@@ -388,7 +390,7 @@
             {b"x-request-id": b"r2", b"x-deadline": b"9000u"},
             b"r2",
             {
-                "offering": "put",
+                "request_class": "put",
                 "tenant": "",
                 "budget": 0.009,
                 "cost": 0.0,
@@ -435,9 +437,9 @@
 
     async def run() -> None:
         loop, listener = asyncio.get_running_loop(), new_listener()
-        desk = new_desk()
-        desk.report_list(3, True, [])
-        asked = discovery.Discovery(desk, Buffers(), listener.getsockname())
+        dispatcher = new_desk()
+        dispatcher.report_list(3, True, [])
+        asked = discovery.Discovery(dispatcher, Buffers(), listener.getsockname())
         asked.watch(True) if watch else asked.ask()
         sock, _ = await loop.sock_accept(listener)
         query = b"?follow=1&since=3" if watch else b""
@@ -446,7 +448,7 @@
         )
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LIST) + LIST)
         await (asked.watching if watch else asked.asking)
-        assert desk.version == 4 and list(desk.entries.values()) == [ENTRY]
+        assert dispatcher.version == 4 and list(dispatcher.endpoints.values()) == [ENTRY]
         sock.close()
         listener.close()
 
@@ -463,19 +465,19 @@
     [
         (
             b'{"instanceId":"e","hostPort":"[::1]:80"}',
-            ("e", ("::1", 80), "", "", 0, Condition.DRAINING, 0.0, 1.0),
+            ("e", ("::1", 80), "", "", 0, EndpointState.DRAINING, 0.0, 1.0),
         ),
         (
             b'{"instanceId":"e","hostPort":"127.0.0.1:80","lifecycle":"leaving","weight":0.5}',
-            ("e", ("127.0.0.1", 80), "", "", 0, Condition.DRAINING, 0.0, 1.0),
+            ("e", ("127.0.0.1", 80), "", "", 0, EndpointState.DRAINING, 0.0, 1.0),
         ),
         (
             b'{"instanceId":"e","hostPort":"127.0.0.1:80","lifecycle":"left","cell":-1}',
-            ("e", ("127.0.0.1", 80), "", "", 0, Condition.GONE, 0.0, 1.0),
+            ("e", ("127.0.0.1", 80), "", "", 0, EndpointState.REMOVED, 0.0, 1.0),
         ),
         (
             b'{"instanceId":"e","hostPort":"127.0.0.1:80","lifecycle":"new","zone":7,"startedAtMs":"x"}',
-            ("e", ("127.0.0.1", 80), "", "", 0, Condition.DRAINING, 0.0, 1.0),
+            ("e", ("127.0.0.1", 80), "", "", 0, EndpointState.DRAINING, 0.0, 1.0),
         ),
     ],
 )
@@ -711,16 +713,16 @@
     """Codes of events, of acts, of outcomes and of conditions."""
     assert sorted(codec.EVENTS) == [10, 20, 30, 40, 50, 60, 70, 80, 90, 100, 110, 120]
     assert {code: outcome.name for code, outcome in codec.OUTCOMES.items()} == {
-        0: "FINISHED",
+        0: "COMPLETED",
         13: "ERROR",
-        8: "FULL",
+        8: "AT_CAPACITY",
         4: "TIMED_OUT",
-        14: "NO_CONNECTION",
-        10: "BROKEN",
+        14: "CONNECT_FAILED",
+        10: "CONNECTION_LOST",
         1: "CANCELLED",
         9: "NOT_SENT",
     }
-    assert [codec.CONDITIONS[code].name for code in (0, 1, 2)] == ["GONE", "READY", "DRAINING"]
+    assert [codec.CONDITIONS[code].name for code in (0, 1, 2)] == ["REMOVED", "READY", "DRAINING"]
 
 
 BATCHES = (
@@ -752,7 +754,7 @@
     sink = io.BytesIO()
     Wire(io.BytesIO(BATCHES), sink).run()
     assert sink.getvalue() == REPLIES
-    assert REPLIES.endswith(hearsay.mark_of(SIX[:-1] + b"\x07"))
+    assert REPLIES.endswith(failure_gossip.executor_checksum(SIX[:-1] + b"\x07"))
 
 
 @pytest.mark.parametrize(
--- a/tests/golden/test_golden_processes.py
+++ b/tests/golden/test_golden_processes.py
@@ -9,10 +9,10 @@
 import orjson
 import pytest
 
-from firwalk import moving
-from firwalk.facade import Desk, Errand
-from firwalk.host import Condition, Effect, Outcome
-from firwalk.net import handover, succession
+from firwalk.dispatcher import request_handover
+from firwalk.dispatcher.dispatcher import Dispatcher, PendingRequest
+from firwalk.net import control_channel, hot_restart
+from firwalk.policy.interface import EndpointState, Idempotency, Outcome
 
 SETTINGS = {
     "offerings": [
@@ -44,7 +44,8 @@
     "kinds": ["m"],
 }
 ENTRIES = [
-    (f"e{number}", ("127.0.0.1", 9000 + number), "a", "m", 0, Condition.READY, 0.0, 2.0) for number in (0, 1)
+    (f"e{number}", ("127.0.0.1", 9000 + number), "a", "m", 0, EndpointState.READY, 0.0, 2.0)
+    for number in (0, 1)
 ]
 TASK = (
     b'{"now":1000.75,"out":1,"due":1001.25,"expiry":1001.73,"task":[0.01,0.0100000000000000'
@@ -83,44 +84,44 @@
         return self.now
 
 
-def new_desk(clock: Clock) -> Desk:
+def new_desk(clock: Clock) -> Dispatcher:
     """A node's decisions with two executors on its list."""
-    desk = Desk(SETTINGS, 7, clock, lambda: None)
-    desk.report_list(4, True, ENTRIES)
-    return desk
+    dispatcher = Dispatcher(SETTINGS, 7, clock, lambda: None)
+    dispatcher.report_list(4, True, ENTRIES)
+    return dispatcher
 
 
-def task_under_way() -> tuple[Desk, Errand]:
+def task_under_way() -> tuple[Dispatcher, PendingRequest]:
     """A task whose first attempt ended in an error, and whose second one has begun and started."""
     clock = Clock(1000.0)
-    desk = new_desk(clock)
+    dispatcher = new_desk(clock)
     clock.now = 1000.25
-    errand = desk.report_task("put", "", 1.5, 0.01, 1.0, 0.0, False, request_id="r1")
+    pending = dispatcher.report_request("put", "", 1.5, 0.01, 1.0, 0.0, False, request_id="r1")
     for number in (0, 1):
-        asyncio.run(desk.pick(errand))
-        assert desk.report_sending(errand, number) and desk.report_last_byte(errand, number)
+        asyncio.run(dispatcher.next_action(pending))
+        assert dispatcher.report_sending(pending, number) and dispatcher.report_committing(pending, number)
         clock.now += 0.125
         if number == 0:
-            desk.report_outcome(errand, 0, Outcome.ERROR)
-    desk.report_start(errand, 1)
+            dispatcher.report_outcome(pending, 0, Outcome.ERROR)
+    dispatcher.report_started(pending, 1)
     clock.now = 1000.75
-    return desk, errand
+    return dispatcher, pending
 
 
-def new_succession(desk: Desk, link: SimpleNamespace | None = None) -> succession.Succession:
+def new_succession(dispatcher: Dispatcher, link: SimpleNamespace | None = None) -> hot_restart.HotRestart:
     """A process's part in a replacement, with stand-ins for its connections."""
     service = SimpleNamespace(
         config={"listen": "127.0.0.1:8000", "discovery": "127.0.0.1:7000"},
-        desk=desk,
+        dispatcher=dispatcher,
         managed=False,
         files=64,
         limit=lambda descriptors, part: None,
         shared=lambda: [],
         clients=SimpleNamespace(moving=None, ending=False),
         told_to_stop=lambda: False,
-        executors=SimpleNamespace(carrying=lambda errand, number: link, let_go=lambda errand, number: None),
+        executors=SimpleNamespace(carrying=lambda pending, number: link, let_go=lambda pending, number: None),
     )
-    return succession.Succession(service)
+    return hot_restart.HotRestart(service)
 
 
 async def read_lines(sock: socket.socket, count: int) -> bytes:
@@ -137,10 +138,10 @@
 
     async def run() -> bytes:
         ours, theirs = socket.socketpair()
-        desk = new_desk(Clock(1000.0))
-        desk.report_out("e1")
+        dispatcher = new_desk(Clock(1000.0))
+        dispatcher.detach_executor("e1")
         theirs.sendall(b'{"hello":1,"takes":["task"],"files":0}\n')
-        work = asyncio.create_task(new_succession(desk)._attend(handover.Line(ours)))
+        work = asyncio.create_task(new_succession(dispatcher)._attend(control_channel.ControlChannel(ours)))
         data = await read_lines(theirs, 1)
         theirs.close()
         await work
@@ -151,20 +152,22 @@
 
 def said_task() -> bytes:
     """The line with which a task goes over."""
-    desk, errand = task_under_way()
+    dispatcher, pending = task_under_way()
 
     async def run() -> bytes:
         ours, theirs = socket.socketpair()
         clients_own, links_own = socket.socketpair()
-        line = handover.Line(ours)
+        line = control_channel.ControlChannel(ours)
         client = SimpleNamespace(
-            errand=errand,
+            pending=pending,
             message=(b"r1", b"/put/k", {b"host": b"h", b"x-tenant": b"\xe9"}, b"body\xff", True),
             sock=clients_own,
             busy=True,
             close=lambda reason: None,
         )
-        new_succession(desk, SimpleNamespace(seen=b"HTTP/1.1 200", sock=links_own))._give_task(line, client)
+        new_succession(dispatcher, SimpleNamespace(seen=b"HTTP/1.1 200", sock=links_own))._give_task(
+            line, client
+        )
         data = await read_lines(theirs, 1)
         line.close()
         for sock in (theirs, clients_own, links_own):
@@ -176,15 +179,23 @@
 
 def test_task_is_packed():
     """A task with one attempt that ended and one that has started."""
-    assert orjson.dumps(moving.packed(*task_under_way())) == TASK
+    assert orjson.dumps(request_handover.encode_request(*task_under_way())) == TASK
 
 
 def test_task_is_unpacked():
     """Times move with the clock of the process that goes on: 500 s later here, and 2 s on the way."""
-    desk = new_desk(Clock(1502.75))
-    errand = moving.unpacked(desk, orjson.loads(TASK), 2.0, "r1")
-    task = errand.task
-    assert (task.hint, task.cost, task.slots, task.draw, task.value, task.most, task.bound) == (
+    dispatcher = new_desk(Clock(1502.75))
+    pending = request_handover.decode_request(dispatcher, orjson.loads(TASK), 2.0, "r1")
+    request = pending.request
+    assert (
+        request.hint,
+        request.cost,
+        request.slots,
+        request.draw,
+        request.value,
+        request.max_attempts,
+        request.bound,
+    ) == (
         0.01,
         0.010000000000000004,
         1.0,
@@ -193,12 +204,12 @@
         5,
         False,
     )
-    assert (task.due, task.expiry) == (1501.25, 1501.73)
-    assert task.offering is desk.node.offerings[0]
-    assert errand.begun == {0, 1} and errand.about == ("put", "")
+    assert (request.objective_at, request.deadline) == (1501.25, 1501.73)
+    assert request.request_class is dispatcher.policy.request_classes[0]
+    assert pending.committed == {0, 1} and pending.labels == ("put", "")
     told = [
-        (one.executor.ref.name, one.sent, one.wait, one.started_at, one.may_have_run, one.out)
-        for one in task.assignments
+        (one.executor.ref.name, one.sent_at, one.wait, one.started_at, one.may_have_run, one.is_in_flight)
+        for one in request.attempts
     ]
     assert told == [("e1", 1500.25, 0.0, 0.0, True, False), ("e0", 1500.375, 0.0, 1500.5, True, True)]
 
@@ -206,10 +217,16 @@
 def test_task_of_an_unknown_offering_keeps_its_terms():
     """The terms are due, expiry, importance, effect, group, seconds remembered, stretch and kind."""
     about = orjson.loads(TASK) | {"offering": "gone", "terms": [3.0, 4.0, 2.0, 1, 2, 60.0, 1.5, 0]}
-    offering = moving.unpacked(new_desk(Clock(1000.75)), about, 0.0).task.offering
-    assert (offering.due, offering.expiry, offering.importance) == (3.0, 4.0, 2.0)
-    assert (offering.effect, offering.group) == (Effect.FINGERPRINTED, 2)
-    assert (offering.remembered, offering.stretch, offering.kind) == (60.0, 1.5, 0)
+    request_class = request_handover.decode_request(
+        new_desk(Clock(1000.75)), about, 0.0
+    ).request.request_class
+    assert (request_class.latency_objective, request_class.deadline, request_class.priority_weight) == (
+        3.0,
+        4.0,
+        2.0,
+    )
+    assert (request_class.idempotency, request_class.deduplication_scope) == (Idempotency.KEYED, 2)
+    assert (request_class.key_ttl, request_class.objective_stretch, request_class.work_kind) == (60.0, 1.5, 0)
 
 
 def test_state_is_said():
@@ -219,19 +236,19 @@
 
 def test_state_is_learned():
     """The new process has the list and who is out from that line."""
-    desk = Desk(SETTINGS, 7, Clock(1000.0), lambda: None)
+    dispatcher = Dispatcher(SETTINGS, 7, Clock(1000.0), lambda: None)
     state = orjson.loads(STATE)["state"]
-    desk.report_kept_out(state["out"])
-    new_succession(desk)._learn(state)
-    assert desk.version == 4
-    assert list(desk.entries.values()) == ENTRIES
-    assert desk.maintenance.state() == {"out": {"e1": 1000.0}, "back": {}}
-    assert desk.places["e1"].condition is Condition.DRAINING
+    dispatcher.restore_maintenance(state["out"])
+    new_succession(dispatcher)._learn(state)
+    assert dispatcher.version == 4
+    assert list(dispatcher.endpoints.values()) == ENTRIES
+    assert dispatcher.maintenance.state() == {"out": {"e1": 1000.0}, "back": {}}
+    assert dispatcher.executors["e1"].condition is EndpointState.DRAINING
 
 
 def test_task_is_said(monkeypatch):
     """The whole line: the task, when it was told, and its bytes as Latin-1 text."""
-    monkeypatch.setattr(succession, "monotonic", lambda: 1234.5)
+    monkeypatch.setattr(hot_restart, "monotonic", lambda: 1234.5)
     assert said_task() == MOVED
 
 
@@ -241,13 +258,13 @@
     service_desk = new_desk(Clock(1000.75))
     process = new_succession(service_desk)
     process.service.clients = SimpleNamespace(
-        resume=lambda sock, errand, message: heard.append((sock, errand.task.expiry, message))
+        resume=lambda sock, pending, message: heard.append((sock, pending.request.deadline, message))
     )
-    process.service.executors.resume = lambda errand, number, sock, name, seen: heard.append(
+    process.service.executors.resume = lambda pending, number, sock, name, seen: heard.append(
         (sock, number, name, seen)
     )
     about = orjson.loads(MOVED)
-    about["at"] = succession.monotonic()
+    about["at"] = hot_restart.monotonic()
     process._resume(about, "client", "link")
     message = (b"r1", b"/put/k", {b"host": b"h", b"x-tenant": b"\xe9"}, b"body\xff", True)
     assert heard[0][0] == "client" and heard[0][2] == message
@@ -271,7 +288,7 @@
 
     async def run() -> None:
         ours, theirs = socket.socketpair()
-        one = handover.Line(ours)
+        one = control_channel.ControlChannel(ours)
         one.say(dict(about))
         assert await read_lines(theirs, 1) == line
         theirs.sendall(line)
@@ -287,7 +304,7 @@
 
     async def run() -> None:
         ours, theirs = socket.socketpair()
-        one, other = handover.Line(ours), handover.Line(theirs)
+        one, other = control_channel.ControlChannel(ours), control_channel.ControlChannel(theirs)
         kept, given = socket.socketpair()
         one.say({"client": True}, given, give=True)
         about, files = await other.next()
@@ -303,7 +320,7 @@
 
     async def run() -> None:
         ours, theirs = socket.socketpair()
-        line = handover.Line(ours)
+        line = control_channel.ControlChannel(ours)
         process = new_succession(new_desk(Clock(1000.0)))
         process.after = line
         work = asyncio.create_task(process.tell("e1", True, False))
@@ -325,8 +342,8 @@
 
     async def run() -> None:
         ours, theirs = socket.socketpair()
-        meeting = SimpleNamespace(call=lambda: handover.Line(ours))
-        work = asyncio.create_task(handover.hello(meeting))
+        meeting = SimpleNamespace(call=lambda: control_channel.ControlChannel(ours))
+        work = asyncio.create_task(control_channel.connect_to_predecessor(meeting))
         assert await read_lines(theirs, 1) == b'{"hello":1,"takes":["task"],"files":0}\n'
         theirs.sendall(b'{"state":{"version":4},"files":0}\n')
         line, state, files, hung = await work
@@ -352,7 +369,7 @@
         process = new_succession(new_desk(Clock(1000.0)))
         process.after = SimpleNamespace()
         theirs.sendall(told)
-        work = asyncio.create_task(process._attend(handover.Line(ours)))
+        work = asyncio.create_task(process._attend(control_channel.ControlChannel(ours)))
         assert await read_lines(theirs, 1) == answer
         theirs.close()
         await work
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -10,15 +10,16 @@
 import msgspec
 import pytest
 
-from firwalk import changes, checking, events, operations
-from firwalk.agent import keeper, machine
+from firwalk.agent import host_processes, supervisor
 from firwalk.broker import contracts
-from firwalk.facade import Desk
-from firwalk.host import Condition, Outcome
+from firwalk.config import operations, rollout_file, validation
+from firwalk.dispatcher.dispatcher import Dispatcher
+from firwalk.dispatcher.maintenance import Maintenance
 from firwalk.lab.soak import records
-from firwalk.maintenance import Maintenance
-from firwalk.monitor import Monitor, Rule
-from firwalk.net import cluster, handover
+from firwalk.net import cluster, control_channel
+from firwalk.observability import events
+from firwalk.observability.monitor import Monitor, Rule
+from firwalk.policy.interface import EndpointState, Outcome
 
 DEPLOY = Path(__file__).parents[2] / "deploy"
 SETTINGS = {
@@ -42,15 +43,15 @@
     "kinds": ["m"],
 }
 OUT = b'{"out":{"e1":1000.5},"back":{"e2":1001.25},"version":1}'
-KEPT = keeper.Kept(
+KEPT = supervisor.SupervisorState(
     "v2",
     "s1",
     "v1",
     {3: "it hangs"},
     [3],
-    keeper.Child("v2", 1, 101, 4, 10.5, 11.25, 12.0),
+    supervisor.ChildProcess("v2", 1, 101, 4, 10.5, 11.25, 12.0),
     None,
-    keeper.Child("v1", 0, 100, told_end=12.5, killed=True),
+    supervisor.ChildProcess("v1", 0, 100, told_end=12.5, killed=True),
 )
 AGENT = (
     b'{"kept":{"release":"v2","tag":"s1","before":"v1","failed":{"3":"it hangs"},"told":[3]'
@@ -81,11 +82,11 @@
 name = "s\u00fcd"
 budget = 1.5
 """.encode()
-V2 = changes.Change(
+V2 = rollout_file.RolloutSpec(
     before="v1",
     release="v2",
     stages=["one", 0.1, "zone", 0.5, "all"],
-    compare=changes.Compare(10.0, 300.0, 0.01, 0.01, 0.05, 0.03, 0.05, 0.1, 0.05, 0.2, 1.2, 1.5),
+    compare=rollout_file.CanaryLimits(10.0, 300.0, 0.01, 0.01, 0.05, 0.03, 0.05, 0.1, 0.05, 0.2, 1.2, 1.5),
 )
 CLIENT = records.ClientRecord(
     "r1", "j", 2, "read", "safe", 1.5, True, 1.0, 2.0, 200, 3.25, False, True, 0.5, True, True
@@ -100,11 +101,11 @@
 def test_who_is_out_is_kept(tmp_path):
     """The file of the node `spruce` at that address: its name, and its bytes."""
     who = Maintenance()
-    who.hear("e2", Condition.READY, 0.0)
-    who.take_out("e1", 1000.5)
-    who.take_out("e2", 1000.75)
-    who.call_back("e2", 1001.25)
-    meeting = handover.Meeting(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
+    who.observe("e2", EndpointState.READY, 0.0)
+    who.detach("e1", 1000.5)
+    who.detach("e2", 1000.75)
+    who.attach("e2", 1001.25)
+    meeting = control_channel.RendezvousSocket(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
     meeting.keep(who.state())
     assert [path.name for path in tmp_path.iterdir()] == ["firwalk-06ab5d9f.json"]
     assert meeting.path.name == "firwalk-06ab5d9f.sock"
@@ -113,18 +114,18 @@
 
 def test_who_is_out_is_read(tmp_path):
     """The file gives the same executors, and times as numbers."""
-    meeting = handover.Meeting(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
+    meeting = control_channel.RendezvousSocket(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
     assert meeting.kept() == {}
     meeting.file.write_bytes(OUT)
     who = Maintenance()
     who.restore(meeting.kept())
-    assert (who.out, who.back) == ({"e1": 1000.5}, {"e2": 1001.25})
+    assert (who.detached, who.attached) == ({"e1": 1000.5}, {"e2": 1001.25})
 
 
 @pytest.mark.parametrize("text", [b'{"out":{},"back":{},"version":2}', b"[]", b"", b'{"out":{}}'])
 def test_who_is_out_of_another_version_is_passed_over(tmp_path, text):
     """A file that cannot be used counts as none."""
-    meeting = handover.Meeting(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
+    meeting = control_channel.RendezvousSocket(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
     meeting.file.write_bytes(text)
     assert meeting.kept() == {}
 
@@ -132,7 +133,7 @@
 # -- the agent ---------------------------------------------------------------------------------------------
 
 
-def new_machine(folder: Path, told_all: bool = False) -> machine.Machine:
+def new_machine(folder: Path, told_all: bool = False) -> host_processes.HostProcesses:
     """An agent's machine with a configuration and one release of settings."""
     (folder / "releases" / "s1").mkdir(parents=True, exist_ok=True)
     (folder / "releases" / "s1" / "settings.json").write_bytes(b'{"azs":["b"],"kinds":["m"]}')
@@ -140,7 +141,7 @@
     config.write_bytes(
         b'{"listen":"127.0.0.1:1","management":"x","settings":{"azs":["a"],"limits":{}},"tag":"s0"}'
     )
-    settings = machine.Settings(
+    settings = host_processes.AgentConfig(
         str(config),
         str(folder / "releases"),
         "v1",
@@ -148,24 +149,24 @@
         ["127.0.0.1:3100", "127.0.0.1:3101"],
         events=told_all,
     )
-    return machine.Machine(settings)
+    return host_processes.HostProcesses(settings)
 
 
 def test_state_of_an_agent():
     """The state with all its fields, written and read."""
-    state = machine.State(KEPT, {101: 12.5, 100: 3.0}, "b-1")
+    state = host_processes.StoredState(KEPT, {101: 12.5, 100: 3.0}, "b-1")
     assert msgspec.json.encode(state) == AGENT
-    assert msgspec.json.decode(AGENT, type=machine.State) == state
+    assert msgspec.json.decode(AGENT, type=host_processes.StoredState) == state
 
 
 def test_state_file_is_written(tmp_path):
     """`agent.json` in the agent's folder; no process of it runs."""
     one = new_machine(tmp_path)
-    one.keep(keeper.Kept("v1", "s0"))
+    one.keep(supervisor.SupervisorState("v1", "s0"))
     assert [path.name for path in (tmp_path / "run").iterdir()] == ["agent.json"]
     assert (tmp_path / "run" / "agent.json").read_bytes() == (
         b'{"kept":{"release":"v1","tag":"s0","before":"","failed":{},"told":[],"serving":null,"coming":null,'
-        b'"leaving":null},"created":{},"boot":"' + machine.boot_id().encode() + b'"}'
+        b'"leaving":null},"created":{},"boot":"' + host_processes.boot_id().encode() + b'"}'
     )
 
 
@@ -179,7 +180,7 @@
 
 def test_first_state_is_of_the_settings(tmp_path):
     """Without a file: the first release, and the tag of the configuration."""
-    assert new_machine(tmp_path).kept == keeper.Kept("v1", "s0")
+    assert new_machine(tmp_path).kept == supervisor.SupervisorState("v1", "s0")
 
 
 def test_configuration_of_a_process(tmp_path):
@@ -206,7 +207,7 @@
 def test_event_of_a_node_among_others(capfd):
     """The same of what a node decides in common with others."""
     one = SimpleNamespace(
-        operations=SimpleNamespace(log=operations.Log("all")), number=4, seat=SimpleNamespace(life=77)
+        operations=SimpleNamespace(log=operations.Log("all")), number=4, seat=SimpleNamespace(generation=77)
     )
     cluster.Cluster.event(one, "plan", term=(5, 2, 9), version=3)
     line = re.sub(r'"at":[0-9.]+', '"at":1.5', capfd.readouterr().err)
@@ -217,9 +218,9 @@
 
 def test_settings_of_an_agent():
     """The example file, key by key."""
-    told, faults = checking.from_toml(machine.Settings, str(DEPLOY / "agent.toml"))
+    told, faults = validation.load_toml(host_processes.AgentConfig, str(DEPLOY / "agent.toml"))
     assert faults == []
-    assert told == machine.Settings(
+    assert told == host_processes.AgentConfig(
         config="node.json",
         releases="releases",
         release="v1",
@@ -242,18 +243,20 @@
     """The whole stream of one request: two attempts, the second one is answered."""
     monkeypatch.setattr(events, "monotonic", lambda: 12.3456789)
     now, lines = [1000.0], []
-    desk = Desk(SETTINGS, 7, lambda: now[0], lambda: None)
-    desk.events.write = lines.append
-    desk.report_list(
-        1, True, [(f"e{n}", ("127.0.0.1", 9000 + n), "a", "m", 0, Condition.READY, 0.0, 2.0) for n in (0, 1)]
+    dispatcher = Dispatcher(SETTINGS, 7, lambda: now[0], lambda: None)
+    dispatcher.events.write = lines.append
+    dispatcher.report_list(
+        1,
+        True,
+        [(f"e{n}", ("127.0.0.1", 9000 + n), "a", "m", 0, EndpointState.READY, 0.0, 2.0) for n in (0, 1)],
     )
-    errand = desk.report_task("put", "", 1.5, 0.01, 1.0, 0.0, False, request_id="r1")
-    for number, how in ((0, Outcome.ERROR), (1, Outcome.FINISHED)):
-        asyncio.run(desk.pick(errand))
-        assert desk.report_sending(errand, number) and desk.report_last_byte(errand, number)
+    pending = dispatcher.report_request("put", "", 1.5, 0.01, 1.0, 0.0, False, request_id="r1")
+    for number, how in ((0, Outcome.ERROR), (1, Outcome.COMPLETED)):
+        asyncio.run(dispatcher.next_action(pending))
+        assert dispatcher.report_sending(pending, number) and dispatcher.report_committing(pending, number)
         now[0] += 0.125
-        desk.report_outcome(errand, number, how, None, b"made")
-    desk.monitor.answered(errand.record, 200, "served")
+        dispatcher.report_outcome(pending, number, how, None, b"made")
+    dispatcher.monitor.answered(pending.record, 200, "served")
     assert lines == [
         b'{"at":12.345679,"event":"request_taken","request":"r1","left_s":1.5}',
         b'{"at":12.345679,"event":"attempt_begun","request":"r1","reason":"first","attempt":0,"executor":"e1"}',
@@ -274,8 +277,8 @@
     log.record(events.Event.CLIENT_CONNECTED)
     log.record(events.Event.CLIENT_CLOSED, events.CloseReason.IDLE)
     log.record(events.Event.EXECUTOR_CLOSED, events.CloseReason.NO_ANSWER)
-    log.record(events.Event.STATE, events.State.SERVING)
-    log.record(events.Event.REQUEST_ANSWERED, events.Refusal.NO_EXECUTOR, "r\u00e9", status=503)
+    log.record(events.Event.STATE, events.ProcessState.SERVING)
+    log.record(events.Event.REQUEST_ANSWERED, events.FailureReason.NO_EXECUTOR, "r\u00e9", status=503)
     log.record(events.Event.REQUEST_RELEASED, "client_left", "r2", at_path=Path("/x"))
     assert lines == [
         b'{"at":12.345679,"event":"client_connected"}',
@@ -297,7 +300,7 @@
     """Every word that an event, its reason or a phase has in the file."""
     words = [
         [str(word) for word in kind]
-        for kind in (events.Event, events.CloseReason, events.Refusal, events.State)
+        for kind in (events.Event, events.CloseReason, events.FailureReason, events.ProcessState)
     ]
     assert words == [
         [
@@ -446,7 +449,7 @@
     """The example file, key by key; paths that it names lie beside it."""
     told, faults = operations.load(str(DEPLOY / "cluster.toml"))
     assert faults == []
-    assert told == operations.Operations(
+    assert told == operations.OperationsConfig(
         fleet=operations.Fleet("north"),
         lease=operations.Lease([0, 4, 8], 2.0, 0.01),
         members=operations.Members(0.5, 0.15),
@@ -467,7 +470,7 @@
         b'stages = {changes = "ch", at_once = 0.5, settle = 2.0}\nlog = {events = "all"}\n'
     )
     assert operations.load(str(path)) == (
-        operations.Operations(
+        operations.OperationsConfig(
             operations.Fleet("n"),
             operations.Lease([0], 2.0, 0.01),
             log=operations.Log("all"),
@@ -480,7 +483,7 @@
 
 def test_example_of_a_change():
     """The example file, and the CRC of its bytes."""
-    assert changes.named(str(DEPLOY / "changes"), "v2") == (V2, 2202248453, [])
+    assert rollout_file.load_by_name(str(DEPLOY / "changes"), "v2") == (V2, 2202248453, [])
 
 
 @pytest.mark.parametrize(
@@ -495,7 +498,7 @@
     """The three kinds, with the stages that none says."""
     (tmp_path / "contracts-3.toml").write_bytes(CONTRACTS_TOML)
     (tmp_path / "c.toml").write_bytes(text)
-    change, _, faults = changes.named(str(tmp_path), "c")
+    change, _, faults = rollout_file.load_by_name(str(tmp_path), "c")
     assert faults == []
     assert (change.kind(), change.what()) == (kind, what)
     assert change.stages == ["one", 0.1, "zone", 0.5, "all"]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -720,7 +720,8 @@
 def test_keys_that_never_come_again_bind_no_task():
     f = _keyed(0, [f"e{n}" for n in range(20)])
     bound = [
-        f.node.request_arrived(f.now, f"t{n}", 0, 0, 90.0, 0.1, 1.0, 0.0, False, b"%d" % n).sticky_executors != ()
+        f.node.request_arrived(f.now, f"t{n}", 0, 0, 90.0, 0.1, 1.0, 0.0, False, b"%d" % n).sticky_executors
+        != ()
         for n in range(300)
     ]
     assert any(bound[:20]) and not any(bound[60:])  # they are believed to, until they do not
