--- /dev/null
+++ b/firwalk/config/node_schema.py
@@ -0,0 +1,226 @@
+"""What a node's configuration may contain: the type and range of each field, and how fields fit together.
+
+Only fields that are present are checked; unknown ones are ignored, so that a newer configuration still loads.
+The keys are those of the configuration file and stay as the protocol gives them.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+import orjson
+
+from firwalk.policy.interface import DeduplicationScope, Idempotency
+
+# Returns what is wanted in place of a bad value, or "" if the value fits.
+FieldCheck = Callable[[object], str]
+
+EFFECTS = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.KEYED,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+GROUPS = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
+SIZE_WEIGHTS = ("nominal", "rough")  # kinds of weights in the endpoint list that are an executor's size
+MIN_DESCRIPTORS = 32  # with fewer a node cannot serve a single client
+MAX_NUMBER = 1e12
+MAX_DURATION_US = 1e11
+MAX_NODES = 65535
+MAX_ZONES = 255
+MAX_ATTEMPTS = 255
+POSITIVE_DURATIONS = ("due-time-us", "expiry-us")  # of each request class
+MAX_SHOWN_VALUE = 40  # characters of a bad value that are shown
+
+
+def number(least: float, most: float = MAX_NUMBER) -> FieldCheck:
+    """Accepts numbers in a range."""
+
+    def check(value: object) -> str:
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        fits = is_number and least <= value <= most  # type: ignore[operator]
+        return "" if fits else f"a number from {least:g} to {most:g}"
+
+    return check
+
+
+def integer(least: float, most: float = MAX_NUMBER) -> FieldCheck:
+    """Accepts whole numbers in a range."""
+
+    def check(value: object) -> str:
+        fits = isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
+        return "" if fits else f"a whole number from {least:g} to {most:g}"
+
+    return check
+
+
+def one_of(*words: str) -> FieldCheck:
+    """Accepts one of some words."""
+
+    def check(value: object) -> str:
+        return "" if isinstance(value, str) and value in words else f"one of {', '.join(words)}"
+
+    return check
+
+
+def boolean(value: object) -> str:
+    """Accepts true and false."""
+    return "" if isinstance(value, bool) else "true or false"
+
+
+def text(value: object) -> str:
+    """Accepts strings."""
+    return "" if isinstance(value, str) else "text"
+
+
+def text_list(value: object) -> str:
+    """Accepts lists of strings."""
+    fits = isinstance(value, list) and all(isinstance(entry, str) for entry in value)
+    return "" if fits else "a list of text"
+
+
+DURATION_US = number(0, MAX_DURATION_US)
+CONFIG_FIELDS: Mapping[str, FieldCheck] = {
+    "name": text,
+    "listen": text,
+    "discovery": text,
+    "peer_listen": text,
+    "peers": text_list,
+    "peers_all": text,
+    "management": text,
+    "tag": text,
+    "limits.memory_mb": number(1),
+    "limits.sockets": integer(MIN_DESCRIPTORS),
+}
+SETTINGS_FIELDS: Mapping[str, FieldCheck] = {
+    "self-index": integer(0, MAX_NODES),
+    "siblings": integer(1, MAX_NODES),
+    "az": integer(0, MAX_ZONES),
+    "azs": text_list,
+    "kinds": text_list,
+    "resolution-us": DURATION_US,
+    "discovery": one_of("ask", "push"),
+    "weights": one_of("off", "live", *SIZE_WEIGHTS),
+    "importance-by": one_of("work", "request"),
+    "excess-importance": number(0, 1),
+    "clients.marks-retry": boolean,
+    "load-report.how": text,
+    "load-report.names": text_list,
+    "specifics.tells-start": boolean,
+    "limits.most-assignments": integer(1, MAX_ATTEMPTS),
+    "limits.second-copies": boolean,
+    "limits.cancel": boolean,
+    "limits.probing": boolean,
+    "limits.peers": boolean,
+    "limits.retry-after": boolean,
+    "limits.max-retry-after-us": DURATION_US,
+    "limits.connect-timeout-us": number(1, MAX_DURATION_US),
+    "limits.idle-close-us": DURATION_US,
+    "prices.cross-zone": number(0),
+    "prices.handshake": number(0),
+    "guarantees.cold-from": number(0, 1),
+    "guarantees.cold-us": DURATION_US,
+    "guarantees.fall-multiple": number(0),
+    "guarantees.tip-after-us": DURATION_US,
+    "guarantees.ask-within-us": DURATION_US,
+}
+REQUEST_CLASS_FIELDS: Mapping[str, FieldCheck] = {
+    "name": text,
+    "due-time-us": DURATION_US,
+    "expiry-us": DURATION_US,
+    "importance": number(0),
+    "repeat": one_of(*EFFECTS),
+    "group": one_of(*GROUPS),
+    "key-ttl-us": DURATION_US,
+    "aim-stretch": number(0),
+}
+TENANT_FIELDS: Mapping[str, FieldCheck] = {"name": text, "quota-per-s": number(0)}
+LISTS = {"offerings": REQUEST_CLASS_FIELDS, "tenants": TENANT_FIELDS}
+
+
+def find_faults(config: object) -> list[str]:
+    """All that a node could not work with, one line each."""
+    faults = _check_fields(config, CONFIG_FIELDS, "")
+    if not isinstance(config, dict):
+        return faults
+    if "settings" not in config:
+        return [*faults, "no settings in it"]
+    settings = config["settings"]
+    faults += _check_fields(settings, SETTINGS_FIELDS, "settings")
+    if isinstance(settings, dict):
+        for key, fields in LISTS.items():
+            faults += _check_list(settings, key, fields)
+    return faults
+
+
+def _check_fields(table: object, fields: Mapping[str, FieldCheck], where: str) -> list[str]:
+    """What is wrong with the fields that are present; a field's path has dots between nested tables."""
+    if not isinstance(table, dict):
+        return [f"{where or 'the configuration'} must be an object"]
+    faults: dict[str, None] = {}  # a dictionary keeps each fault once, in order
+    for path, check in fields.items():
+        fault = _check_field(table, path, check, where)
+        if fault:
+            faults[fault] = None
+    return list(faults)
+
+
+def _check_field(table: dict[str, object], path: str, check: FieldCheck, where: str) -> str:
+    value: object = table
+    name = where
+    for key in path.split("."):
+        if value is None:
+            return ""
+        if not isinstance(value, dict):
+            return f"{name} must be an object"
+        name = f"{name}.{key}" if name else key
+        value = value.get(key)
+    wanted = "" if value is None else check(value)
+    if not wanted:
+        return ""
+    return f"{name} must be {wanted}, not {orjson.dumps(value).decode()[:MAX_SHOWN_VALUE]}"
+
+
+def _check_list(settings: dict[str, object], key: str, fields: Mapping[str, FieldCheck]) -> list[str]:
+    """What is wrong with the entries of a list, and with request classes together."""
+    entries = settings.get(key, [])
+    if not isinstance(entries, list):
+        return [f"settings.{key} must be a list"]
+    faults = []
+    for index, entry in enumerate(entries):
+        faults += _check_fields(entry, fields, f"settings.{key}[{index}]")
+    if key == "offerings" and key in settings and not faults:
+        faults += _check_request_classes(entries)
+    return faults
+
+
+def _check_request_classes(entries: list[dict[str, object]]) -> list[str]:
+    """What is wrong with the request classes together, whose fields fit one by one."""
+    faults = []
+    names = [entry.get("name") for entry in entries]
+    if not entries:
+        faults.append("settings.offerings must name one class of tasks at least")
+    for index, entry in enumerate(entries):
+        where = f"settings.offerings[{index}]"
+        if names[index] is None:
+            faults.append(f"{where}.name is missing")
+        elif names[index] in names[:index]:
+            faults.append(f"{where}.name stands twice: each must have a name of its own, not {names[index]}")
+        faults += _check_durations(entry, where)
+    return faults
+
+
+def _check_durations(entry: dict[str, object], where: str) -> list[str]:
+    faults = []
+    for key in POSITIVE_DURATIONS:
+        value = entry.get(key)
+        if key not in entry:
+            if key == "due-time-us":  # its latency objective is its deadline
+                continue
+            faults.append(f"{where}.{key} is missing")
+        elif not isinstance(value, int | float) or value <= 0:
+            faults.append(f"{where}.{key} must be a number above 0")
+    return faults
--- a/firwalk/config/rollout_file.py
+++ b/firwalk/config/rollout_file.py
@@ -1,49 +1,62 @@
-"""A change that goes through the fleet by stages: an operator's file, checked whole.
+"""A rollout's file (TOML): what goes through the cluster by stages, and what counts as harm.
 
-Keys are told in `docs/stages.md`. The file lies in the folder that the operators' file names, on all nodes.
+Its keys are described in `docs/stages.md`. The file lies in the folder that the operators' file names, with
+the same content on all nodes.
 """
 
 from __future__ import annotations
 
 import os
 import re
-from typing import Annotated, Any
+from typing import TYPE_CHECKING, Annotated
 from zlib import crc32
 
 from msgspec import Meta, Struct, field
 
 from firwalk.cluster.canary_analysis import HarmThresholds
 from firwalk.config import validation
+from firwalk.config.errors import raise_conflicts
+
+if TYPE_CHECKING:
+    from firwalk.broker.contracts import Contracts
 
 NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,39}$")
 VERSION = r"^[1-9][0-9]{0,8}$"
-Part = Annotated[float, Meta(gt=0, le=1)]
+Fraction = Annotated[float, Meta(gt=0, le=1)]
 Word = Annotated[str, Meta(pattern=NAME.pattern)]
 Stage = str | int | float | list[int]
+ZONE_PREFIX = "zone:"
+MAX_SHOWN_NAME = 50  # characters of a bad name that are shown
 
 
 class CanaryLimits(Struct, frozen=True):
-    """`seconds`: that a stage takes at least; `most`: after which it is held if it cannot be told. The rest:
-    `firwalk.cluster.canary_analysis.Worse`; `memory`: times that of the old nodes."""
+    """What new nodes are compared for, against old ones in the same time.
+
+    seconds: time that a stage takes at least.
+    most: seconds after which an undecided stage is held.
+    memory: limit on the memory of a new node, as a multiple of that of the old ones.
+    The others are those of `firwalk.cluster.canary_analysis.HarmThresholds`.
+    """
 
     seconds: Annotated[float, Meta(ge=0, le=86400)] = 10.0
     most: Annotated[float, Meta(gt=0, le=604800)] = 300.0
     false_stop: Annotated[float, Meta(gt=0, le=0.2)] = 0.01
     miss: Annotated[float, Meta(gt=0, le=0.2)] = 0.01
-    late: Part = 0.05
-    abandoned: Part = 0.03
-    bounced: Part = 0.05
-    bad: Part = 0.1
-    errors: Part = 0.05
+    late: Fraction = 0.05
+    abandoned: Fraction = 0.03
+    bounced: Fraction = 0.05
+    bad: Fraction = 0.1
+    errors: Fraction = 0.05
     assignments: Annotated[float, Meta(gt=0, le=10)] = 0.2
     time: Annotated[float, Meta(gt=1, le=100)] = 1.2
     memory: Annotated[float, Meta(gt=1, le=100)] = 1.5
 
     def __post_init__(self) -> None:
         if self.most < self.seconds:
-            raise ValueError("most: must not be less than seconds")
+            raise_conflicts(["most: must not be less than seconds"])
 
     def worse(self) -> HarmThresholds:
+        """The thresholds of the sequential test."""
         return HarmThresholds(
             self.late,
             self.abandoned,
@@ -58,8 +71,14 @@
 
 
 class RolloutSpec(Struct, frozen=True):
-    """`release`, `settings` or `contracts` (a version; the file `contracts-VERSION.toml` beside this one):
-    what all nodes come to have; `before`: what all have now."""
+    """One rollout, of one of three kinds.
+
+    before: the name of what all nodes have now.
+    release: a release folder that all nodes are to run.
+    settings: a tag of settings that all nodes are to use.
+    contracts: a version of contracts, in the file `contracts-VERSION.toml` beside this one.
+    stages: which nodes have it after each stage.
+    """
 
     before: Word
     release: Word = ""
@@ -69,33 +88,37 @@
     compare: CanaryLimits = CanaryLimits()
 
     def __post_init__(self) -> None:
-        wrong = []
+        conflicts = []
         if len([name for name in (self.release, self.settings, self.contracts) if name]) != 1:
-            wrong.append("release, settings, contracts: one of the three is wanted")
+            conflicts.append("release, settings, contracts: one of the three is wanted")
         if self.contracts and not re.fullmatch(VERSION, self.before):
-            wrong.append("before: the version of the contracts in force is wanted, a number")
+            conflicts.append("before: the version of the contracts in force is wanted, a number")
         if self.what() == self.before:
-            wrong.append(f"before: {self.before} is what the change brings, not what all nodes have now")
+            conflicts.append(f"before: {self.before} is what the change brings, not what all nodes have now")
         if not self.stages or self.stages[-1] != "all":
-            wrong.append('stages: the last one must be "all"')
-        wrong += [
-            f"stages[{number}]: {fault}"
-            for number, stage in enumerate(self.stages)
-            if (fault := _misfit(stage))
-        ]
-        if wrong:
-            raise ValueError("\n".join(wrong))
+            conflicts.append('stages: the last one must be "all"')
+        for index, stage in enumerate(self.stages):
+            fault = _stage_fault(stage)
+            if fault:
+                conflicts.append(f"stages[{index}]: {fault}")
+        raise_conflicts(conflicts)
 
     def what(self) -> str:
+        """The name or version that it brings."""
         return self.release or self.settings or self.contracts
 
     def kind(self) -> str:
-        return "release" if self.release else "settings" if self.settings else "contracts"
+        """Which of the three it brings: "release", "settings" or "contracts"."""
+        if self.release:
+            return "release"
+        return "settings" if self.settings else "contracts"
 
 
-def _misfit(stage: Stage) -> str:
+def _stage_fault(stage: Stage) -> str:
+    """What is wanted in place of a bad stage, or ""."""
     if isinstance(stage, str):
-        fits = stage in ("one", "zone", "all") or stage.startswith("zone:") and len(stage) > 5
+        names_a_zone = stage.startswith(ZONE_PREFIX) and len(stage) > len(ZONE_PREFIX)
+        fits = stage in ("one", "zone", "all") or names_a_zone
         return "" if fits else f'"one", "zone", "zone:NAME" or "all" is wanted, not {stage!r}'
     if isinstance(stage, list):
         return "" if stage and min(stage) >= 0 else "a list of seats is wanted, from 0 on"
@@ -105,35 +128,43 @@
 
 
 def load(path: str) -> tuple[RolloutSpec | None, int, list[str]]:
-    """The change, the checksum of its bytes, and what is wrong, a line each; with a fault there is none."""
+    """The rollout, its file's checksum, and its faults, one line each; with a fault there is no rollout."""
     try:
         with open(path, "rb") as file:
             text = file.read()
     except OSError as problem:
         return None, 0, [f"{path}: {problem.strerror or problem}"]
-    change, faults = validation.parse_toml(RolloutSpec, text, path)
-    if change is not None and change.contracts:
-        beside = contracts_file(os.path.dirname(path), int(change.contracts))
-        told, faults = load_contracts(beside)
-        if told is not None and told.version != int(change.contracts):
-            faults = [f"{beside}: version: {told.version} is not {change.contracts}, as the file's name says"]
-        change = None if faults else change
-    return change, crc32(text), faults
+    spec, faults = validation.parse_toml(RolloutSpec, text, path)
+    if spec is not None and spec.contracts:
+        faults = _contracts_faults(os.path.dirname(path), spec.contracts)
+        if faults:
+            spec = None
+    return spec, crc32(text), faults
+
+
+def _contracts_faults(folder: str, version: str) -> list[str]:
+    path = contracts_file(folder, int(version))
+    contracts, faults = load_contracts(path)
+    if contracts is not None and contracts.version != int(version):
+        return [f"{path}: version: {contracts.version} is not {version}, as the file's name says"]
+    return faults
 
 
 def contracts_file(folder: str, version: int) -> str:
+    """The path of the contracts of a version that a rollout brings."""
     return os.path.join(folder, f"contracts-{version}.toml")
 
 
-def load_contracts(path: str) -> tuple[Any, list[str]]:
-    """The contracts that a change brings, and what is wrong with them."""
-    from firwalk.broker import contracts
+def load_contracts(path: str) -> tuple[Contracts | None, list[str]]:
+    """The contracts that a rollout brings, and their faults, one line each."""
+    from firwalk.broker import contracts  # loaded only where a rollout brings them
 
     return contracts.load(path)
 
 
 def load_by_name(folder: str, name: str) -> tuple[RolloutSpec | None, int, list[str]]:
-    """The change of that name in the folder."""
+    """Like `load`, for a rollout's name in the folder of rollouts."""
     if not NAME.fullmatch(name):
-        return None, 0, [f"{name!r:.50}: no name of a change; letters, digits and ._- are wanted, 40 at most"]
+        shown = repr(name)[:MAX_SHOWN_NAME]
+        return None, 0, [f"{shown}: no name of a change; letters, digits and ._- are wanted, 40 at most"]
     return load(os.path.join(folder, f"{name}.toml"))
