--- a/firwalk/dispatcher/request_handover.py
+++ b/firwalk/dispatcher/request_handover.py
@@ -1,103 +1,241 @@
-"""A task in work, told by one process of a node to the other that goes on with it. No I/O.
+"""Transfer of a request in work from one process of a node to the process that replaces it. No I/O.
 
-The whole history goes along: what may have run decides whether the task may be sent again, there as here.
-Times are told as they are on the clock of the one that tells, with the time on it at that moment.
+The whole attempt history is transferred: what may have run decides whether the request may be sent again, in
+the receiving process as in the sending one. Times on the wire are on the sender's clock, together with the
+sender's time at that moment. The keys and the order of fields on the wire are known to this module only.
 """
 
 from __future__ import annotations
 
-from firwalk.dispatcher.dispatcher import RESPONSE_MARGIN_S, Dispatcher, PendingRequest
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any, NamedTuple, cast
+
+from firwalk.dispatcher.dispatcher import RESPONSE_MARGIN_S, Dispatcher, Endpoint, PendingRequest
 from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency
 from firwalk.policy.policy import Attempt, Executor, Request, RequestClass
 
-# Order on the wire between two processes of a node.
-REQUEST_FIELDS = ("hint", "cost", "slots", "draw", "value", "max_attempts", "bound")
-REQUEST_CLASS_FIELDS = (
-    "latency_objective",
-    "deadline",
-    "priority_weight",
-    "idempotency",
-    "deduplication_scope",
-    "key_ttl",
-    "objective_stretch",
-    "work_kind",
-)
-
-
-def encode_request(dispatcher: Dispatcher, pending: PendingRequest) -> dict | None:
-    """What the other process must know; None where it has to stay for now: a step of it is still to be done,
-    or what is out is not just one assignment that has begun."""
+WireObject = dict[str, Any]
+MALFORMED = (AttributeError, IndexError, KeyError, TypeError, ValueError)
+
+
+class HandoverError(Exception):
+    """A request from the other process cannot be decoded."""
+
+
+class RequestFields(NamedTuple):
+    """What the decisions know of a request, in wire order."""
+
+    hint: float
+    cost: float
+    slots: float
+    draw: float
+    value: float
+    max_attempts: int
+    bound: bool
+
+    @classmethod
+    def of(cls, request: Request) -> RequestFields:
+        """The fields of a request."""
+        return cls(*[getattr(request, field) for field in cls._fields])
+
+    @classmethod
+    def from_wire(cls, values: list[Any]) -> RequestFields:
+        """Decodes the list; raises one of `MALFORMED`."""
+        hint, cost, slots, draw, value, max_attempts, bound = values
+        return cls(
+            hint=float(hint),
+            cost=float(cost),
+            slots=float(slots),
+            draw=float(draw),
+            value=float(value),
+            max_attempts=int(max_attempts),
+            bound=bool(bound),
+        )
+
+
+class RequestClassFields(NamedTuple):
+    """The terms of a request class, in wire order. Times are in seconds."""
+
+    latency_objective: float
+    deadline: float
+    priority_weight: float
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    key_ttl: float
+    objective_stretch: float
+    work_kind: int
+
+    @classmethod
+    def of(cls, request_class: RequestClass) -> RequestClassFields:
+        """The terms of a request class."""
+        return cls(*[getattr(request_class, field) for field in cls._fields])
+
+    @classmethod
+    def from_wire(cls, values: list[Any]) -> RequestClassFields:
+        """Decodes the list; raises one of `MALFORMED`."""
+        objective, deadline, weight, idempotency, scope, key_ttl, stretch, work_kind = values
+        return cls(
+            latency_objective=float(objective),
+            deadline=float(deadline),
+            priority_weight=float(weight),
+            idempotency=Idempotency(idempotency),
+            deduplication_scope=DeduplicationScope(scope),
+            key_ttl=float(key_ttl),
+            objective_stretch=float(stretch),
+            work_kind=int(work_kind),
+        )
+
+    def to_request_class(self) -> RequestClass:
+        """A request class with these terms."""
+        return RequestClass(**self._asdict())
+
+
+@dataclass(frozen=True, slots=True)
+class HandedOverAttempt:
+    """One attempt of a request, with times on the sender's clock."""
+
+    executor: str
+    address: tuple[str, int]
+    sent_at: float
+    estimate: float
+    wait: float
+    started_at: float  # 0 until the executor reports a start
+    may_have_run: bool
+    is_committed: bool
+
+    @classmethod
+    def of(cls, pending: PendingRequest, attempt: Attempt) -> HandedOverAttempt:
+        """A snapshot of an attempt of that request."""
+        endpoint = cast(Endpoint, attempt.executor.ref)
+        return cls(
+            executor=endpoint.name,
+            address=endpoint.address,
+            sent_at=attempt.sent_at,
+            estimate=attempt.estimate,
+            wait=attempt.wait,
+            started_at=attempt.started_at,
+            may_have_run=attempt.may_have_run,
+            is_committed=attempt.number in pending.committed,
+        )
+
+    def to_wire(self) -> WireObject:
+        """The attempt as a JSON object."""
+        return {
+            "executor": self.executor,
+            "address": self.address,
+            "sent": self.sent_at,
+            "estimate": self.estimate,
+            "wait": self.wait,
+            "started": self.started_at,
+            "may_have_run": self.may_have_run,
+            "begun": self.is_committed,
+        }
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> HandedOverAttempt:
+        """Decodes the JSON object; raises one of `MALFORMED`."""
+        address = wire["address"]
+        return cls(
+            executor=str(wire["executor"]),
+            address=(str(address[0]), int(address[1])),
+            sent_at=float(wire["sent"]),
+            estimate=float(wire["estimate"]),
+            wait=float(wire["wait"]),
+            started_at=float(wire["started"] or 0.0),
+            may_have_run=bool(wire["may_have_run"]),
+            is_committed=bool(wire["begun"]),
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class HandedOverRequest:
+    """A request in work, with times on the sender's clock."""
+
+    sender_time: float
+    attempt_in_flight: int
+    objective_at: float
+    deadline: float
+    fields: RequestFields
+    class_name: str | None
+    class_fields: RequestClassFields
+    attempts: tuple[HandedOverAttempt, ...]
+
+    def to_wire(self) -> WireObject:
+        """The request as a JSON object."""
+        return {
+            "now": self.sender_time,
+            "out": self.attempt_in_flight,
+            "due": self.objective_at,
+            "expiry": self.deadline,
+            "task": list(self.fields),
+            "offering": self.class_name,
+            "terms": list(self.class_fields),
+            "assignments": [attempt.to_wire() for attempt in self.attempts],
+        }
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> HandedOverRequest:
+        """Decodes the JSON object; raises HandoverError if it is malformed."""
+        try:
+            class_name = wire["offering"]
+            handed_over = cls(
+                sender_time=float(wire["now"]),
+                attempt_in_flight=int(wire["out"]),
+                objective_at=float(wire["due"]),
+                deadline=float(wire["expiry"]),
+                fields=RequestFields.from_wire(wire["task"]),
+                class_name=None if class_name is None else str(class_name),
+                class_fields=RequestClassFields.from_wire(wire["terms"]),
+                attempts=tuple(HandedOverAttempt.from_wire(attempt) for attempt in wire["assignments"]),
+            )
+        except MALFORMED as problem:
+            raise HandoverError(f"malformed request: {problem!r}") from problem
+        if not 0 <= handed_over.attempt_in_flight < len(handed_over.attempts):
+            raise HandoverError("the request has no attempt in flight")
+        return handed_over
+
+
+def export_request(dispatcher: Dispatcher, pending: PendingRequest) -> HandedOverRequest | None:
+    """A snapshot of the request for the other process.
+
+    None while the request has to stay here: it has a pending action, or something else than exactly one
+    committed attempt in flight.
+    """
     request = pending.request
-    out = [a.number for a in request.attempts if a.is_in_flight]
-    if not request.is_open or pending.actions or len(out) != 1 or out[0] not in pending.committed:
+    if request is None or not request.is_open or pending.actions:
         return None
-    return {
-        "now": dispatcher.clock(),
-        "out": out[0],
-        "due": request.objective_at,
-        "expiry": pending.deadline,
-        "task": [getattr(request, word) for word in REQUEST_FIELDS],
-        "offering": next(
-            (
-                name
-                for name, number in dispatcher.request_classes.items()
-                if dispatcher.policy.request_classes[number] is request.request_class
-            ),
-            None,
-        ),
-        "terms": [getattr(request.request_class, word) for word in REQUEST_CLASS_FIELDS],
-        "assignments": [_told(pending, attempt) for attempt in request.attempts],
-    }
-
-
-def _told(pending: PendingRequest, attempt: Attempt) -> dict:
-    place = attempt.executor.ref
-    return {
-        "executor": place.name,
-        "address": place.address,
-        "sent": attempt.sent_at,
-        "estimate": attempt.estimate,
-        "wait": attempt.wait,
-        "started": attempt.started_at,
-        "may_have_run": attempt.may_have_run,
-        "begun": attempt.number in pending.committed,
-    }
-
-
-def decode_request(dispatcher: Dispatcher, about: dict, since: float, request_id: str = "") -> PendingRequest:
-    """The task as the other process told it some seconds ago, counted here from now on. KeyError, TypeError
-    or ValueError, and nothing counted, if it cannot be understood."""
-    later = dispatcher.clock() - since - float(about["now"])
-    hint, cost, slots, draw, value, most, bound = about["task"]
-    request_class, pending = _offering(dispatcher, about["offering"], about["terms"]), PendingRequest()
-    request = pending.request = Request(
-        pending,
-        request_class,
-        float(hint),
-        float(cost),
-        float(slots),
-        float(draw),
-        float(about["due"]) + later,
-        float(about["expiry"]) + later,
+    in_flight = [attempt.number for attempt in request.attempts if attempt.is_in_flight]
+    if len(in_flight) != 1 or in_flight[0] not in pending.committed:
+        return None
+    return HandedOverRequest(
+        sender_time=dispatcher.clock(),
+        attempt_in_flight=in_flight[0],
+        objective_at=request.objective_at,
+        deadline=pending.deadline,
+        fields=RequestFields.of(request),
+        class_name=_class_name(dispatcher, request.request_class),
+        class_fields=RequestClassFields.of(request.request_class),
+        attempts=tuple(HandedOverAttempt.of(pending, attempt) for attempt in request.attempts),
     )
-    request.value, request.max_attempts, request.bound = float(value), int(most), bool(bound)
-    for told in about["assignments"]:
-        attempt = Attempt(
-            request,
-            _executor(dispatcher, str(told["executor"]), told["address"]),
-            float(told["sent"]) + later,
-            float(told["estimate"]),
-            float(told["wait"]),
-        )
-        attempt.is_in_flight = attempt.number == about["out"]
-        attempt.started_at = told["started"] and float(told["started"]) + later
-        attempt.may_have_run = bool(told["may_have_run"])
-        if told["begun"]:
+
+
+def resume_request(
+    dispatcher: Dispatcher, handed_over: HandedOverRequest, elapsed_s: float, request_id: str = ""
+) -> PendingRequest:
+    """Continues a request that the other process exported `elapsed_s` seconds ago."""
+    clock_offset_s = dispatcher.clock() - elapsed_s - handed_over.sender_time
+    pending = PendingRequest()
+    request = _new_request(dispatcher, pending, handed_over, clock_offset_s)
+    pending.request = request
+    for handed_over_attempt in handed_over.attempts:
+        attempt = _new_attempt(dispatcher, request, handed_over_attempt, clock_offset_s)
+        attempt.is_in_flight = attempt.number == handed_over.attempt_in_flight
+        if handed_over_attempt.is_committed:
             pending.committed.add(attempt.number)
         request.attempts.append(attempt)
-    if not 0 <= about["out"] < len(request.attempts):
-        raise ValueError("no assignment of it is out")
-    pending.labels, pending.arrived_at = (about["offering"] or "", ""), request.attempts[0].sent_at
+    pending.labels = (handed_over.class_name or "", "")
+    pending.arrived_at = request.attempts[0].sent_at
     pending.record = dispatcher.monitor.resumed(
         request_id, request, request.deadline + RESPONSE_MARGIN_S, pending.committed
     )
@@ -105,34 +243,72 @@
     return pending
 
 
-def _offering(dispatcher: Dispatcher, name: str | None, terms: list) -> RequestClass:
-    """The one of that name here, if it has the same terms; else the task keeps those that it came with."""
-    due, deadline, importance, idempotency, deduplication_scope, key_ttl, stretch, kind = terms
-    own = dispatcher.request_classes.get(name)
-    if (
-        own is not None
-        and [getattr(dispatcher.policy.request_classes[own], word) for word in REQUEST_CLASS_FIELDS] == terms
-    ):
-        return dispatcher.policy.request_classes[own]
-    return RequestClass(
-        float(due),
-        float(deadline),
-        priority_weight=float(importance),
-        idempotency=Idempotency(idempotency),
-        deduplication_scope=DeduplicationScope(deduplication_scope),
-        key_ttl=float(key_ttl),
-        objective_stretch=float(stretch),
-        work_kind=int(kind),
+def _class_name(dispatcher: Dispatcher, request_class: RequestClass) -> str | None:
+    """The configured name of a request class; None once the configuration has dropped it."""
+    numbers: dict[str, int] = dispatcher.request_classes
+    for name, number in numbers.items():
+        if dispatcher.policy.request_classes[number] is request_class:
+            return name
+    return None
+
+
+def _new_request(
+    dispatcher: Dispatcher, pending: PendingRequest, handed_over: HandedOverRequest, clock_offset_s: float
+) -> Request:
+    fields = handed_over.fields
+    request = Request(
+        pending,
+        _request_class(dispatcher, handed_over),
+        fields.hint,
+        fields.cost,
+        fields.slots,
+        fields.draw,
+        handed_over.objective_at + clock_offset_s,
+        handed_over.deadline + clock_offset_s,
     )
+    request.value = fields.value
+    request.max_attempts = fields.max_attempts
+    request.bound = fields.bound
+    return request
+
+
+def _new_attempt(
+    dispatcher: Dispatcher, request: Request, handed_over: HandedOverAttempt, clock_offset_s: float
+) -> Attempt:
+    attempt = Attempt(
+        request,
+        _executor(dispatcher, handed_over),
+        handed_over.sent_at + clock_offset_s,
+        handed_over.estimate,
+        handed_over.wait,
+    )
+    if handed_over.started_at:
+        attempt.started_at = handed_over.started_at + clock_offset_s
+    attempt.may_have_run = handed_over.may_have_run
+    return attempt
+
+
+def _request_class(dispatcher: Dispatcher, handed_over: HandedOverRequest) -> RequestClass:
+    """This process's class of that name if its terms are the same; else one with the terms handed over."""
+    number = (
+        None if handed_over.class_name is None else dispatcher.request_classes.get(handed_over.class_name)
+    )
+    if number is not None:
+        own_class = dispatcher.policy.request_classes[number]
+        if RequestClassFields.of(own_class) == handed_over.class_fields:
+            return own_class
+    return handed_over.class_fields.to_request_class()
+
 
+def _executor(dispatcher: Dispatcher, attempt: HandedOverAttempt) -> Executor:
+    """The executor of an attempt; one that this process has never had on its list is added as draining.
 
-def _executor(dispatcher: Dispatcher, name: str, address: list) -> Executor:
-    """One that left the list before this process had one finishes what it has. Its zone and cell are not
-    known: a fingerprinted task is then not repeated in any."""
-    if name not in dispatcher.executors:
+    Its zone and cell are not known, so that a keyed request is not repeated in any.
+    """
+    if attempt.executor not in dispatcher.executors:
         dispatcher.restore_endpoint_list(
             dispatcher.version,
-            [(name, (str(address[0]), int(address[1])), "", "", -1, EndpointState.DRAINING, 0.0, 1.0)],
+            [(attempt.executor, attempt.address, "", "", -1, EndpointState.DRAINING, 0.0, 1.0)],
             False,
         )
-    return dispatcher.executors[name]
+    return dispatcher.executors[attempt.executor]
--- a/firwalk/net/hot_restart.py
+++ b/firwalk/net/hot_restart.py
@@ -9,7 +9,12 @@
 from time import monotonic
 from typing import TYPE_CHECKING, Protocol
 
-from firwalk.dispatcher.request_handover import decode_request, encode_request
+from firwalk.dispatcher.request_handover import (
+    HandedOverRequest,
+    HandoverError,
+    export_request,
+    resume_request,
+)
 from firwalk.net.control_channel import (
     VERSION,
     ChannelClosed,
@@ -170,16 +175,16 @@
         try:
             name, target, body, seen, *rest = (text.encode("latin-1") for text in about["bytes"])
             headers = dict(zip(rest[::2], rest[1::2], strict=True))
-            pending = decode_request(
-                self.dispatcher, about["task"], monotonic() - about["at"], name.decode("latin-1")
-            )
-        except (KeyError, TypeError, ValueError, AttributeError) as problem:
+            handed_over = HandedOverRequest.from_wire(about["task"])
+            elapsed_s = monotonic() - about["at"]
+        except (HandoverError, KeyError, TypeError, ValueError, AttributeError) as problem:
             log_exception("going on with a task", problem)
             client.close()
             link.close()
             return
+        pending = resume_request(self.dispatcher, handed_over, elapsed_s, name.decode("latin-1"))
         self.service.clients.resume(client, pending, (name, target, headers, body, bool(about["keep"])))
-        self.service.executors.resume(pending, about["task"]["out"], link, name, seen)
+        self.service.executors.resume(pending, handed_over.attempt_in_flight, link, name, seen)
 
     def _free(self) -> None:
         if not self.yours.done():
@@ -264,15 +269,17 @@
     def _give_task(self, line: ControlChannel, client: Client) -> None:
         """Sent with copies of both descriptors, so that closing ours ends neither connection."""
         pending, executors = client.pending, self.service.executors
-        about = encode_request(self.dispatcher, pending)
-        link = executors.carrying(pending, about["out"]) if about and line.open else None
+        handed_over = export_request(self.dispatcher, pending)
+        link = (
+            executors.carrying(pending, handed_over.attempt_in_flight) if handed_over and line.open else None
+        )
         if link is None:
             return
         name, target, headers, body, keep = client.message
         data = [name, target, body, link.seen, *(part for pair in headers.items() for part in pair)]
         line.say(
             {
-                "task": about,
+                "task": handed_over.to_wire(),
                 "at": monotonic(),
                 "keep": keep,
                 "bytes": [part.decode("latin-1") for part in data],
@@ -281,7 +288,7 @@
             link.sock,
         )
         self.given += 1
-        executors.let_go(pending, about["out"])
+        executors.let_go(pending, handed_over.attempt_in_flight)
         client.pending, client.busy = None, False
         self.dispatcher.report_handed_over(pending)
         client.close(CloseReason.HANDED_OVER)
--- a/tests/golden/test_golden_processes.py
+++ b/tests/golden/test_golden_processes.py
@@ -179,13 +179,15 @@
 
 def test_task_is_packed():
     """A task with one attempt that ended and one that has started."""
-    assert orjson.dumps(request_handover.encode_request(*task_under_way())) == TASK
+    assert orjson.dumps(request_handover.export_request(*task_under_way()).to_wire()) == TASK
 
 
 def test_task_is_unpacked():
     """Times move with the clock of the process that goes on: 500 s later here, and 2 s on the way."""
     dispatcher = new_desk(Clock(1502.75))
-    pending = request_handover.decode_request(dispatcher, orjson.loads(TASK), 2.0, "r1")
+    pending = request_handover.resume_request(
+        dispatcher, request_handover.HandedOverRequest.from_wire(orjson.loads(TASK)), 2.0, "r1"
+    )
     request = pending.request
     assert (
         request.hint,
@@ -217,9 +219,9 @@
 def test_task_of_an_unknown_offering_keeps_its_terms():
     """The terms are due, expiry, importance, effect, group, seconds remembered, stretch and kind."""
     about = orjson.loads(TASK) | {"offering": "gone", "terms": [3.0, 4.0, 2.0, 1, 2, 60.0, 1.5, 0]}
-    request_class = request_handover.decode_request(
-        new_desk(Clock(1000.75)), about, 0.0
-    ).request.request_class
+    handed_over = request_handover.HandedOverRequest.from_wire(about)
+    pending = request_handover.resume_request(new_desk(Clock(1000.75)), handed_over, 0.0)
+    request_class = pending.request.request_class
     assert (request_class.latency_objective, request_class.deadline, request_class.priority_weight) == (
         3.0,
         4.0,
