--- a/firwalk/lab/versions.py
+++ b/firwalk/lab/versions.py
@@ -164,9 +164,9 @@
 
 def drops_what_is_handed_over() -> None:
     """Ends at the first task that comes over from the process before."""
-    from firwalk.net import hot_restart
+    from firwalk.net import restart_successor
 
-    hot_restart.HotRestart._resume = lambda self, *about: os._exit(5)
+    restart_successor.SuccessorRole._resume_request = lambda self, *about: os._exit(5)
 
 
 def _number() -> str:
--- a/firwalk/net/control_channel.py
+++ b/firwalk/net/control_channel.py
@@ -1,7 +1,8 @@
-"""Two processes as one node, while one replaces the other: `docs/in-service.md` tells the order of things.
+"""Control channel between the two processes of one node while one replaces the other.
 
-They talk over a Unix socket in `$TMPDIR`, a JSON object a line, descriptors beside the line that names them.
-Nothing is decided here: who accepts follows from one message, who is out is kept by
+A Unix socket in `$TMPDIR` carries one JSON object a line (`firwalk.net.restart_messages`), with file
+descriptors beside the line that names their count. `docs/in-service.md` gives the order of messages. This
+module decides nothing: who accepts follows from one message, which executors are in maintenance is kept by
 `firwalk.dispatcher.maintenance`.
 """
 
@@ -17,162 +18,228 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
+from typing import Any, NamedTuple
 from zlib import crc32
 
 import orjson
 
+from firwalk.dispatcher.request_handover import HandoverError
 from firwalk.net.errors import Pause
 from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
 from firwalk.net.opening import SHORT_OF_RESOURCES
+from firwalk.net.restart_messages import (
+    PROTOCOL_VERSION,
+    Hello,
+    MalformedMessage,
+    NodeState,
+    Refusal,
+    WireObject,
+    decode,
+)
 from firwalk.net.waiting import readable
 from firwalk.observability.log import log_exception, log_external
 
-VERSION = 1
-ANSWER_TIME = 2.0  # seconds in which the one before must answer, or it hangs
-BUSY_TIME = 5.0  # seconds to wait while it is still handing over to another
-AGAIN = 0.1  # seconds between tries meanwhile
-PART = 65536  # bytes of a read
-MOST_TEXT = 1 << 24  # bytes of a line: the list of a large fleet is one
-MOST_FILE = 1 << 20  # bytes of the file
-MOST_FILES = 8  # descriptors beside a line
-MOST_AT_ONCE = 32  # reads before others have their turn
-TOLD_TIME = 0.5  # seconds in which the other process takes over an operator's call
+HELLO_TIMEOUT_S = 2.0  # without an answer by then, the predecessor hangs
+BUSY_TIMEOUT_S = 5.0  # for a predecessor that still hands over to another process
+RETRY_INTERVAL_S = 0.1
+REPLY_TIMEOUT_S = 0.5
+READ_SIZE_BYTES = 65536
+MAX_LINE_BYTES = 1 << 24  # fits the endpoint list of a large fleet
+MAX_STATE_FILE_BYTES = 1 << 20
+MAX_DESCRIPTORS_PER_LINE = 8
+MAX_READS_IN_A_ROW = 32
+LISTEN_BACKLOG = 8
+INT_SIZE_BYTES = 4
+CREDENTIALS_FORMAT = "3i"  # struct ucred: pid, uid, gid
 
 
 class ChannelClosed(Exception):
-    """The other process says nothing that can be understood, or nothing at all."""
+    """The channel has ended, or the other process sent a line that cannot be decoded."""
+
+
+class StateFileError(Exception):
+    """The node's state file cannot be used."""
+
+
+class OutgoingLine(NamedTuple):
+    """Bytes still to be sent, and the descriptors to send beside the first of them."""
+
+    data: bytes
+    descriptors: list[socket.socket]
 
 
 class ControlChannel:
     """One connection between the two processes."""
 
-    def __init__(self, sock: socket.socket):
+    def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        self.sock, self.text, self.files = sock, b"", deque()
-        self.out: deque[tuple[bytes, list[socket.socket]]] = deque()
-        self.open, self.writing, self.number = True, False, 0
-        self.asked: dict[int, asyncio.Future] = {}
-        self.at_once = 0  # reads since others had their turn
-
-    def same_user(self) -> bool:
-        _, user, _ = struct.unpack("3i", self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
-        return user == os.getuid()
-
-    # -- out ---------------------------------------------------------------------------------------------
-
-    def say(self, about: dict, *files: socket.socket, give: bool = False) -> None:
-        """Sends a line, with descriptors beside it; `give`: ours are closed once they are sent. OSError, and
-        nothing is sent: there is none left for a copy."""
-        about["files"] = len(files)
-        self.out.append((orjson.dumps(about) + b"\n", list(files) if give else _copies(files)))
+        self.sock = sock
+        self.is_open = True
+        self.outgoing: deque[OutgoingLine] = deque()
+        self._received = b""
+        self._received_descriptors: deque[socket.socket] = deque()
+        self._is_writer_registered = False
+        self._last_number = 0
+        self._replies: dict[object, asyncio.Future[bool]] = {}
+        self._reads_in_a_row = 0
+
+    def is_same_user(self) -> bool:
+        """Whether the other process runs as this one's user."""
+        size = struct.calcsize(CREDENTIALS_FORMAT)
+        credentials = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
+        _, user_id, _ = struct.unpack(CREDENTIALS_FORMAT, credentials)
+        return bool(user_id == os.getuid())
+
+    # -- sending -------------------------------------------------------------------------------------------
+
+    def send(self, wire: WireObject, *descriptors: socket.socket, give: bool = False) -> None:
+        """Sends a line with descriptors beside it; with `give`, ours are closed once they are sent.
+
+        Raises OSError, with nothing sent, if no descriptor is free for a copy.
+        """
+        wire["files"] = len(descriptors)
+        data = orjson.dumps(wire) + b"\n"
+        self.outgoing.append(OutgoingLine(data, list(descriptors) if give else _copies(descriptors)))
         self._write()
 
     def _write(self) -> None:
         loop = asyncio.get_running_loop()
-        while self.open and self.out:
-            data, files = self.out.popleft()
-            beside = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array("i", [f.fileno() for f in files]))]
+        while self.is_open and self.outgoing:
+            line = self.outgoing[0]
             try:
-                count = self.sock.sendmsg([data], beside if files else [])
+                count = self._send_now(line)
             except BlockingIOError:
-                self.out.appendleft((data, files))
                 break
             except OSError as problem:
-                self.out.appendleft((data, files))
-                if problem.errno == errno.ETOOMANYREFS:  # the other has yet to take those on their way
-                    loop.call_later(AGAIN, self._write)
+                if problem.errno == errno.ETOOMANYREFS:  # the receiver has yet to read those in flight
+                    loop.call_later(RETRY_INTERVAL_S, self._write)
                     return
-                self.open = False
+                self.is_open = False
                 break
-            for file in files:
-                file.close()
-            if count < len(data):
-                self.out.appendleft((data[count:], []))
-        if bool(self.open and self.out) != self.writing:
-            self.writing = not self.writing
-            if self.writing:
-                loop.add_writer(self.sock, self._write)
-            else:
-                loop.remove_writer(self.sock)
+            self.outgoing.popleft()
+            for descriptor in line.descriptors:
+                descriptor.close()
+            if count < len(line.data):
+                self.outgoing.appendleft(OutgoingLine(line.data[count:], []))
+        self._register_writer(loop)
+
+    def _send_now(self, line: OutgoingLine) -> int:
+        if not line.descriptors:
+            return self.sock.sendmsg([line.data], [])
+        numbers = array("i", [descriptor.fileno() for descriptor in line.descriptors])
+        return self.sock.sendmsg([line.data], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, numbers)])
+
+    def _register_writer(self, loop: asyncio.AbstractEventLoop) -> None:
+        is_needed = bool(self.is_open and self.outgoing)
+        if is_needed == self._is_writer_registered:
+            return
+        self._is_writer_registered = is_needed
+        if is_needed:
+            loop.add_writer(self.sock, self._write)
+        else:
+            loop.remove_writer(self.sock)
 
-    async def ask(self, about: dict) -> bool:
-        """Says it and waits until the other says that it is done, or a while; what that one says to it."""
-        self.number += 1
-        number = self.number
-        done = self.asked[number] = asyncio.get_running_loop().create_future()
+    async def request(self, wire: WireObject) -> bool:
+        """Sends a numbered line and returns the reply to it; False if none comes in time."""
+        self._last_number += 1
+        number = self._last_number
+        reply: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self._replies[number] = reply
         try:
-            async with asyncio.timeout(TOLD_TIME):
-                self.say(about | {"number": number})
-                return bool(await done)
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
+                self.send(wire | {"number": number})
+                return await reply
         except TimeoutError:
             log_external("the other process of this node does not answer")
             return False
         finally:
-            self.asked.pop(number, None)
+            self._replies.pop(number, None)
+
+    def resolve(self, number: object, reply: bool) -> None:
+        """Passes a reply on to the waiting request; one that nobody waits for is dropped."""
+        if number in self._replies:
+            self._replies[number].set_result(reply)
 
-    # -- in ----------------------------------------------------------------------------------------------
+    # -- receiving -----------------------------------------------------------------------------------------
 
-    async def next(self) -> tuple[dict, list[socket.socket]]:
-        """The next line and its descriptors; Broken at the end. A read ends behind one line with descriptors:
-        were each waited for, a busy loop would take requests over one an iteration, past their deadlines."""
-        if b"\n" not in self.text and self.at_once >= MOST_AT_ONCE:
+    async def receive(self) -> tuple[WireObject, list[socket.socket]]:
+        """The next line and its descriptors; raises ChannelClosed.
+
+        A read ends behind one line with descriptors: if each waited for the event loop, a busy one would take
+        requests over at one an iteration, past their deadlines.
+        """
+        if b"\n" not in self._received and self._reads_in_a_row >= MAX_READS_IN_A_ROW:
             await asyncio.sleep(0)
-            self.at_once = 0
-        while b"\n" not in self.text:
-            try:
-                part, beside, _, _ = self.sock.recvmsg(PART, socket.CMSG_SPACE(4 * MOST_FILES))
-                self.at_once += 1
-            except BlockingIOError:
-                self.at_once = 0
+            self._reads_in_a_row = 0
+        while b"\n" not in self._received:
+            if not self._read():
+                self._reads_in_a_row = 0
                 await readable(self.sock)
-                continue
-            except OSError as problem:
-                raise ChannelClosed(str(problem)) from problem
-            for _, kind, data in beside:
-                if kind == socket.SCM_RIGHTS:
-                    numbers = array("i", data[: len(data) // 4 * 4])
-                    self.files.extend(_taken(number) for number in numbers)
-            if not part or len(self.text) > MOST_TEXT:
-                raise ChannelClosed("it has ended")
-            self.text += part
-        line, _, self.text = self.text.partition(b"\n")
+        line, _, self._received = self._received.partition(b"\n")
+        return self._decode_line(line)
+
+    def _read(self) -> bool:
+        """Reads once; False if nothing has come. Raises ChannelClosed at the end."""
+        try:
+            data, ancillary, _, _ = self.sock.recvmsg(
+                READ_SIZE_BYTES, socket.CMSG_SPACE(INT_SIZE_BYTES * MAX_DESCRIPTORS_PER_LINE)
+            )
+        except BlockingIOError:
+            return False
+        except OSError as problem:
+            raise ChannelClosed(str(problem)) from problem
+        self._reads_in_a_row += 1
+        for _, kind, content in ancillary:
+            if kind == socket.SCM_RIGHTS:
+                numbers = array("i", content[: len(content) // INT_SIZE_BYTES * INT_SIZE_BYTES])
+                self._received_descriptors.extend(_non_blocking_socket(number) for number in numbers)
+        if not data or len(self._received) > MAX_LINE_BYTES:
+            raise ChannelClosed("it has ended")
+        self._received += data
+        return True
+
+    def _decode_line(self, line: bytes) -> tuple[WireObject, list[socket.socket]]:
         try:
-            about = orjson.loads(line)
-            count = int(about.get("files", 0))
+            wire = orjson.loads(line)
+            count = int(wire.get("files", 0))
         except (orjson.JSONDecodeError, TypeError, ValueError, AttributeError) as problem:
-            raise ChannelClosed(f"it says nonsense: {problem}") from problem
-        if count > len(self.files):
+            raise ChannelClosed(f"malformed line: {problem}") from problem
+        if count > len(self._received_descriptors):
             raise ChannelClosed("descriptors are missing")
-        return about, [self.files.popleft() for _ in range(count)]
+        return wire, [self._received_descriptors.popleft() for _ in range(count)]
 
     def close(self) -> None:
-        self.open = False
-        loop = asyncio.get_running_loop()
-        if self.writing:
-            loop.remove_writer(self.sock)
-        for file in [*self.files, *(f for _, files in self.out for f in files)]:
-            file.close()
-        self.files.clear()
-        self.out.clear()
-        for done in self.asked.values():
-            if not done.done():
-                done.set_result(None)
+        """Ends the connection; what waits for a reply gets a negative one."""
+        self.is_open = False
+        if self._is_writer_registered:
+            asyncio.get_running_loop().remove_writer(self.sock)
+        unsent = [descriptor for line in self.outgoing for descriptor in line.descriptors]
+        for descriptor in [*self._received_descriptors, *unsent]:
+            descriptor.close()
+        self._received_descriptors.clear()
+        self.outgoing.clear()
+        for reply in self._replies.values():
+            if not reply.done():
+                reply.set_result(False)
         self.sock.close()
 
 
-def _taken(number: int) -> socket.socket:
-    """That it does not block is known to the machine, for all who hold it, and not to the new object: a copy
-    of that one, made at the next replacement, would make it block, and the loop of each process with it."""
+def _non_blocking_socket(number: int) -> socket.socket:
+    """A socket object for a received descriptor.
+
+    The kernel has it as non-blocking for all its holders, but the new object does not know: a copy made of it
+    at the next replacement would set it to blocking, for the event loops of all processes that hold it.
+    """
     sock = socket.socket(fileno=number)
     sock.setblocking(False)
     return sock
 
 
-def _copies(files: tuple[socket.socket, ...]) -> list[socket.socket]:
+def _copies(descriptors: tuple[socket.socket, ...]) -> list[socket.socket]:
     copies: list[socket.socket] = []
     try:
-        for file in files:
-            copies.append(file.dup())
+        for descriptor in descriptors:
+            copies.append(descriptor.dup())
     except OSError:
         for copy in copies:
             copy.close()
@@ -181,153 +248,197 @@
 
 
 class RendezvousSocket:
-    """The place in `$TMPDIR` where the next process of this node finds the one before."""
-
-    def __init__(self, folder: str, name: str, listen: str, come: Callable[[ControlChannel], None]):
-        self.folder, self.come = Path(folder), come
-        stem = f"firwalk-{crc32(f'{name} {listen}'.encode()):08x}"
-        self.path, self.file = self.folder / f"{stem}.sock", self.folder / f"{stem}.json"
-        self.listener: socket.socket | None = None
-        self.accepting: asyncio.Task | None = None
-
-    def _reached(self, act: Callable[[str], None]) -> None:
-        """A path longer than a socket's name may be is reached by the folder's descriptor."""
+    """The socket in `$TMPDIR` at which a new process of the node finds its predecessor.
+
+    A state file beside it keeps the executors in maintenance for a process without a predecessor.
+    """
+
+    def __init__(
+        self, folder: str, node_name: str, listen_address: str, on_connect: Callable[[ControlChannel], None]
+    ) -> None:
+        self.folder = Path(folder)
+        stem = f"firwalk-{crc32(f'{node_name} {listen_address}'.encode()):08x}"
+        self.path = self.folder / f"{stem}.sock"
+        self.state_file = self.folder / f"{stem}.json"
+        self._on_connect = on_connect
+        self._listener: socket.socket | None = None
+        self._accepting: asyncio.Task[None] | None = None
+
+    def _at_path(self, act: Callable[[str], None]) -> None:
+        """Acts on the path by way of the folder's descriptor: it may be longer than a socket address."""
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             act(f"/proc/self/fd/{folder}/{self.path.name}")
         finally:
             os.close(folder)
 
-    def call(self) -> ControlChannel | None:
-        """Reaches the process that accepts now, if there is one."""
+    def connect(self) -> ControlChannel | None:
+        """A channel to the process that listens now, if there is one."""
         try:
             sock = socket.socket(socket.AF_UNIX)
         except OSError:
             return None
         try:
-            self._reached(sock.connect)
-            line = ControlChannel(sock)
-            if line.same_user():
-                return line
+            self._at_path(sock.connect)
+            channel = ControlChannel(sock)
+            if channel.is_same_user():
+                return channel
         except OSError:
             pass
         sock.close()
         return None
 
     def listen(self) -> None:
-        """From now on the next process finds this one; later, if it cannot be for a moment."""
+        """Lets the next process find this one; retries while the system is short of resources."""
         problem = self._bind()
         if problem is None or problem.errno in SHORT_OF_RESOURCES:
-            self.accepting = asyncio.get_running_loop().create_task(self._listen())
+            self._accepting = asyncio.get_running_loop().create_task(self._listen())
         else:
-            log_external(f"no process can take over from this one: {problem}")
+            _log_unreachable(problem)
 
     def _bind(self) -> OSError | None:
-        """What stands in the way, if something does."""
+        """Binds the listener, or returns why it cannot."""
         sock = None
         try:
             sock = socket.socket(socket.AF_UNIX)
             sock.setblocking(False)
             self.path.unlink(missing_ok=True)
-            self._reached(sock.bind)
-            sock.listen(8)
+            self._at_path(sock.bind)
+            sock.listen(LISTEN_BACKLOG)
         except OSError as problem:
             if sock is not None:
                 sock.close()
             return problem
-        self.listener = sock
+        self._listener = sock
         return None
 
     async def _listen(self) -> None:
         pause = Pause()
-        while self.listener is None:
+        while self._listener is None:
             await asyncio.sleep(pause.next())
             problem = self._bind()
             if problem is not None and problem.errno not in SHORT_OF_RESOURCES:
-                log_external(f"no process can take over from this one: {problem}")
+                _log_unreachable(problem)
                 return
-        await self._accept()
+        await self._accept(self._listener)
 
-    async def _accept(self) -> None:
+    async def _accept(self, listener: socket.socket) -> None:
         while True:
             try:
-                await readable(self.listener)
-                sock, _ = self.listener.accept()
+                await readable(listener)
+                sock, _ = listener.accept()
             except OSError:
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
-            line = ControlChannel(sock)
-            if line.same_user():
-                self.come(line)
+            channel = ControlChannel(sock)
+            if channel.is_same_user():
+                self._on_connect(channel)
             else:
-                line.close()
+                channel.close()
 
     def close(self, unlink: bool = False) -> None:
-        if self.accepting is not None:
-            self.accepting.cancel()
-            self.accepting = None
-        if self.listener is not None:
+        """Stops listening; `unlink` also removes the socket's path."""
+        if self._accepting is not None:
+            self._accepting.cancel()
+            self._accepting = None
+        if self._listener is not None:
             if unlink:
-                with suppress(OSError):  # one that is left behind answers nobody
+                with suppress(OSError):  # a path left behind answers nobody
                     self.path.unlink(missing_ok=True)
-            self.listener.close()
-            self.listener = None
+            self._listener.close()
+            self._listener = None
 
-    # -- the file ----------------------------------------------------------------------------------------
+    # -- the state file ------------------------------------------------------------------------------------
 
-    def keep(self, about: dict) -> None:
-        """Written beside and put in its place whole: a reader finds the old one or the new one."""
+    def save_state(self, state: WireObject) -> None:
+        """Replaces the state file atomically; a failure is logged only."""
         try:
-            part = self.file.with_suffix(f".{os.getpid()}")
-            part.write_bytes(orjson.dumps(about | {"version": VERSION}))
-            part.replace(self.file)
+            new_file = self.state_file.with_suffix(f".{os.getpid()}")
+            new_file.write_bytes(orjson.dumps(state | {"version": PROTOCOL_VERSION}))
+            new_file.replace(self.state_file)
         except OSError as problem:
             log_external(f"who is out cannot be kept: {problem}")
 
-    def kept(self) -> dict:
-        """What the file says, or nothing; one that cannot be used costs a line and no more."""
+    def load_state(self) -> WireObject:
+        """The content of the state file; empty, with a log line, if it cannot be used."""
         try:
-            if self.file.stat().st_size > MOST_FILE:
-                raise ValueError("too long")
-            about = orjson.loads(self.file.read_bytes())
-            if not isinstance(about, dict) or about.get("version") != VERSION:
-                raise ValueError("of another version")
-            return about
+            return self._read_state_file()
         except FileNotFoundError:
             return {}
-        except (OSError, ValueError) as problem:
-            log_external(f"begun without what {self.file.name} keeps: {' '.join(str(problem).split())}")
+        except (OSError, StateFileError) as problem:
+            reason = " ".join(str(problem).split())
+            log_external(f"begun without what {self.state_file.name} keeps: {reason}")
             return {}
 
+    def _read_state_file(self) -> WireObject:
+        if self.state_file.stat().st_size > MAX_STATE_FILE_BYTES:
+            raise StateFileError("too long")
+        try:
+            state: Any = orjson.loads(self.state_file.read_bytes())
+        except orjson.JSONDecodeError as problem:
+            raise StateFileError(str(problem)) from problem
+        if not isinstance(state, dict) or state.get("version") != PROTOCOL_VERSION:
+            raise StateFileError("of another version")
+        return state
+
+
+def _log_unreachable(problem: OSError) -> None:
+    log_external(f"no process can take over from this one: {problem}")
+
 
-async def connect_to_predecessor(
-    meeting: RendezvousSocket,
-) -> tuple[ControlChannel | None, dict, list[socket.socket], bool]:
-    """Asks the process before for the node: the line to it, its state and descriptors; whether it hangs."""
+class PredecessorConnection(NamedTuple):
+    """What a new process gets from its predecessor."""
+
+    channel: ControlChannel | None  # None: there is none, or it does not hand over
+    state: WireObject
+    descriptors: list[socket.socket]
+    is_hung: bool  # it is there, and does not hand over
+
+
+NO_PREDECESSOR = PredecessorConnection(None, {}, [], False)
+HUNG_PREDECESSOR = PredecessorConnection(None, {}, [], True)
+
+
+async def connect_to_predecessor(rendezvous: RendezvousSocket) -> PredecessorConnection:
+    """Asks the predecessor for the node, for as long as it is busy handing over to another process."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + BUSY_TIME
-    while (line := meeting.call()) is not None:
-        line.say({"hello": VERSION, "takes": ["task"]})
+    give_up_at = loop.time() + BUSY_TIMEOUT_S
+    while (channel := rendezvous.connect()) is not None:
+        channel.send(Hello().to_wire())
         try:
-            async with asyncio.timeout(ANSWER_TIME):
-                about, files = await line.next()
-        except (TimeoutError, ChannelClosed) as problem:
-            line.close()
-            if isinstance(problem, TimeoutError):
-                return None, {}, [], True
-            about = {"busy": True}
-        if "state" in about:
-            return line, about["state"], files, False
-        line.close()
-        if loop.time() > end or not about.get("busy"):
-            log_external(f"the process before does not hand over: {about.get('why', 'it is busy')}")
-            return None, {}, [], True
-        await asyncio.sleep(AGAIN)
-    return None, {}, [], False
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
+                answer, descriptors = await _receive_answer(channel)
+        except TimeoutError:
+            channel.close()
+            return HUNG_PREDECESSOR
+        if isinstance(answer, NodeState):
+            return PredecessorConnection(channel, answer.state, descriptors, False)
+        channel.close()
+        if loop.time() > give_up_at or not answer.is_busy:
+            reason = "it is busy" if answer.reason is None else answer.reason
+            log_external(f"the process before does not hand over: {reason}")
+            return HUNG_PREDECESSOR
+        await asyncio.sleep(RETRY_INTERVAL_S)
+    return NO_PREDECESSOR
+
+
+async def _receive_answer(channel: ControlChannel) -> tuple[NodeState | Refusal, list[socket.socket]]:
+    """The answer to a hello; a channel that ends counts as busy, an unknown answer as a refusal."""
+    try:
+        wire, descriptors = await channel.receive()
+    except ChannelClosed:
+        return Refusal(is_busy=True), []
+    try:
+        message = decode(wire)
+    except (HandoverError, MalformedMessage):
+        message = None
+    if isinstance(message, NodeState | Refusal):
+        return message, descriptors
+    return Refusal(is_busy=False), descriptors
 
 
 def steer(listener: socket.socket) -> None:
-    """All new connections go to the second listener of the group: the first one's process hangs."""
+    """Sends all new connections to the second listener of the group: the first one's process hangs."""
     try:
         always_return(listener, SO_ATTACH_REUSEPORT_CBPF, 1)
     except OSError as problem:
--- /dev/null
+++ b/firwalk/net/restart_messages.py
@@ -0,0 +1,343 @@
+"""Messages between the two processes of one node during a hot restart.
+
+Each is one JSON object. Processes of different versions run side by side, so the keys are fixed; only this
+module and `firwalk.dispatcher.request_handover` know them. A message of an unknown kind decodes to None, and
+the receiver ignores it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from firwalk.dispatcher.request_handover import HandedOverRequest, HandoverError
+from firwalk.policy.interface import EndpointState
+
+WireObject = dict[str, Any]
+MALFORMED = (AttributeError, IndexError, KeyError, TypeError, ValueError)
+
+PROTOCOL_VERSION = 1
+REQUEST_HANDOVER = "task"  # in a hello: the sender continues requests in work
+TEXT_ENCODING = "latin-1"  # carries any byte of a request through JSON
+
+
+class MalformedMessage(Exception):
+    """A message of a known kind lacks a part or has one of a wrong type."""
+
+
+class EndpointListState(NamedTuple):
+    """The endpoint list of the predecessor, and the service that it came from."""
+
+    version: int
+    discovery: object
+    entries: list[tuple[Any, ...]]
+
+
+class ClientRequest(NamedTuple):
+    """A request as its client sent it."""
+
+    request_id: bytes
+    target: bytes
+    headers: dict[bytes, bytes]
+    body: bytes
+    keep_alive: bool
+
+
+@dataclass(frozen=True, slots=True)
+class Hello:
+    """First message of a new process: it wants to take over."""
+
+    version: object = PROTOCOL_VERSION
+    continues_requests: bool = True
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"hello": self.version, "takes": [REQUEST_HANDOVER] if self.continues_requests else []}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> Hello:
+        """Decodes the JSON object."""
+        abilities = wire.get("takes")
+        return cls(wire["hello"], isinstance(abilities, list) and REQUEST_HANDOVER in abilities)
+
+
+@dataclass(frozen=True, slots=True)
+class Refusal:
+    """Answer to a hello: not now (busy), or never (with a reason)."""
+
+    is_busy: bool
+    reason: str | None = None
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        reason = {} if self.reason is None else {"why": self.reason}
+        return {"busy": self.is_busy} | reason
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> Refusal:
+        """Decodes the JSON object."""
+        return cls(bool(wire["busy"]), wire.get("why"))
+
+
+@dataclass(frozen=True, slots=True)
+class NodeState:
+    """Answer to a hello: what the predecessor knows. The receiver decodes each part on its own."""
+
+    state: WireObject
+
+    @classmethod
+    def of(cls, endpoint_list: EndpointListState, maintenance: WireObject) -> NodeState:
+        """The state of a node with that endpoint list and those executors in maintenance."""
+        return cls(
+            {
+                "version": endpoint_list.version,
+                "discovery": endpoint_list.discovery,
+                "entries": endpoint_list.entries,
+                "out": maintenance,
+            }
+        )
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"state": self.state}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> NodeState:
+        """Decodes the JSON object."""
+        return cls(wire["state"])
+
+
+def decode_endpoint_list(state: WireObject) -> EndpointListState:
+    """The endpoint list in a node's state; raises MalformedMessage."""
+    try:
+        return EndpointListState(
+            int(state["version"]),
+            state["discovery"],
+            [
+                (
+                    str(entry[0]),
+                    (str(entry[1][0]), int(entry[1][1])),
+                    *entry[2:5],
+                    EndpointState(entry[5]),
+                    *entry[6:],
+                )
+                for entry in state["entries"]
+            ],
+        )
+    except MALFORMED as problem:
+        raise MalformedMessage(repr(problem)) from problem
+
+
+def decode_maintenance(state: WireObject) -> Any:
+    """The executors in maintenance in a node's state, in the form that `Maintenance.restore` checks."""
+    return state.get("out")
+
+
+@dataclass(frozen=True, slots=True)
+class TakeOver:
+    """The successor asks the predecessor to stop accepting."""
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"take": True}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> TakeOver:
+        """Decodes the JSON object."""
+        return cls()
+
+
+@dataclass(frozen=True, slots=True)
+class ListenerReleased:
+    """The predecessor accepts no more connections."""
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"yours": True}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> ListenerReleased:
+        """Decodes the JSON object."""
+        return cls()
+
+
+@dataclass(frozen=True, slots=True)
+class ClientHandover:
+    """A client connection between two requests; its descriptor goes beside the message."""
+
+    has_sent_request: bool
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"client": self.has_sent_request}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> ClientHandover:
+        """Decodes the JSON object."""
+        return cls(bool(wire["client"]))
+
+
+@dataclass(frozen=True, slots=True)
+class IdleConnectionHandover:
+    """An idle connection to an executor; its descriptor goes beside the message."""
+
+    executor: str
+    idle_since: float  # on the monotonic clock, which the two processes share
+    round_trip_s: float | None
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"link": self.executor, "idle_since": self.idle_since, "trip": self.round_trip_s}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> IdleConnectionHandover:
+        """Decodes the JSON object."""
+        return cls(wire["link"], float(wire["idle_since"]), wire["trip"])
+
+
+@dataclass(frozen=True, slots=True)
+class RequestHandover:
+    """A request in work; the descriptors of its client and its executor go beside the message."""
+
+    request: HandedOverRequest
+    sent_at: float  # on the monotonic clock, which the two processes share
+    client_request: ClientRequest
+    response_bytes: bytes  # read from the executor so far
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        name, target, headers, body, keep_alive = self.client_request
+        parts = [name, target, body, self.response_bytes]
+        parts.extend(part for header in headers.items() for part in header)
+        return {
+            "task": self.request.to_wire(),
+            "at": self.sent_at,
+            "keep": keep_alive,
+            "bytes": [part.decode(TEXT_ENCODING) for part in parts],
+        }
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> RequestHandover:
+        """Decodes the JSON object; raises HandoverError if it is malformed."""
+        try:
+            parts = [text.encode(TEXT_ENCODING) for text in wire["bytes"]]
+            name, target, body, response_bytes, *headers = parts
+            header_fields = dict(zip(headers[::2], headers[1::2], strict=True))
+            client_request = ClientRequest(name, target, header_fields, body, bool(wire["keep"]))
+            sent_at = float(wire["at"])
+            request = HandedOverRequest.from_wire(wire["task"])
+        except MALFORMED as problem:
+            raise HandoverError(f"malformed request: {problem!r}") from problem
+        return cls(request, sent_at, client_request, response_bytes)
+
+
+@dataclass(frozen=True, slots=True)
+class DescriptorsHeld:
+    """How many descriptors of the node's limit the predecessor still needs."""
+
+    count: int
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"holds": self.count}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> DescriptorsHeld:
+        """Decodes the JSON object."""
+        return cls(int(wire["holds"]))
+
+
+@dataclass(frozen=True, slots=True)
+class Reload:
+    """The configuration is to be read again."""
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"reload": True}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> Reload:
+        """Decodes the JSON object."""
+        return cls()
+
+
+@dataclass(frozen=True, slots=True)
+class MaintenanceCall:
+    """An operator detaches or attaches an executor."""
+
+    executor: str
+    detaches: bool
+    is_known: bool  # the sender has the executor on its list
+    number: object = None  # of the question; the channel sets it
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object, to which the channel adds the number."""
+        return {"out": self.executor, "on": self.detaches, "sure": self.is_known}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> MaintenanceCall:
+        """Decodes the JSON object."""
+        return cls(wire["out"], bool(wire["on"]), bool(wire["sure"]), wire["number"])
+
+
+@dataclass(frozen=True, slots=True)
+class MaintenanceReply:
+    """The answer to a MaintenanceCall: whether the executor is known there."""
+
+    number: object
+    is_known: bool
+
+    def to_wire(self) -> WireObject:
+        """The message as a JSON object."""
+        return {"done": self.number, "known": self.is_known}
+
+    @classmethod
+    def from_wire(cls, wire: Mapping[str, Any]) -> MaintenanceReply:
+        """Decodes the JSON object."""
+        return cls(wire["done"], bool(wire.get("known")))
+
+
+Message = (
+    Hello
+    | Refusal
+    | NodeState
+    | TakeOver
+    | ListenerReleased
+    | ClientHandover
+    | IdleConnectionHandover
+    | RequestHandover
+    | DescriptorsHeld
+    | Reload
+    | MaintenanceCall
+    | MaintenanceReply
+)
+
+DECODERS: dict[str, Callable[[Mapping[str, Any]], Message]] = {
+    "state": NodeState.from_wire,
+    "hello": Hello.from_wire,
+    "busy": Refusal.from_wire,
+    "take": TakeOver.from_wire,
+    "link": IdleConnectionHandover.from_wire,
+    "client": ClientHandover.from_wire,
+    "task": RequestHandover.from_wire,
+    "yours": ListenerReleased.from_wire,
+    "holds": DescriptorsHeld.from_wire,
+    "reload": Reload.from_wire,
+    "out": MaintenanceCall.from_wire,
+    "done": MaintenanceReply.from_wire,
+}
+
+
+def decode(wire: Mapping[str, Any]) -> Message | None:
+    """The message of a JSON object; None if it is of a kind that this version does not know.
+
+    Raises HandoverError for a malformed request, MalformedMessage for any other malformed message.
+    """
+    for key, decoder in DECODERS.items():
+        if key in wire:
+            try:
+                return decoder(wire)
+            except MALFORMED as problem:
+                raise MalformedMessage(f"malformed {key!r} message: {problem!r}") from problem
+    return None
--- /dev/null
+++ b/firwalk/net/restart_successor.py
@@ -0,0 +1,159 @@
+"""The successor's side of a hot restart: takes the node over from the process that runs it."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from time import monotonic
+from typing import TYPE_CHECKING, cast
+
+from firwalk.dispatcher.request_handover import HandoverError, resume_request
+from firwalk.net.control_channel import (
+    ChannelClosed,
+    ControlChannel,
+    RendezvousSocket,
+    connect_to_predecessor,
+)
+from firwalk.net.restart_context import RestartContext
+from firwalk.net.restart_messages import (
+    TEXT_ENCODING,
+    ClientHandover,
+    DescriptorsHeld,
+    IdleConnectionHandover,
+    ListenerReleased,
+    MalformedMessage,
+    Message,
+    RequestHandover,
+    TakeOver,
+    WireObject,
+    decode,
+    decode_endpoint_list,
+    decode_maintenance,
+)
+from firwalk.observability.log import log_exception, log_external
+
+if TYPE_CHECKING:
+    from firwalk.dispatcher.dispatcher import Endpoint
+
+
+class SuccessorRole:
+    """This process as the one that replaces its predecessor."""
+
+    def __init__(self, context: RestartContext) -> None:
+        self.context = context
+        self.channel: ControlChannel | None = None  # to the predecessor, while it lives
+        self.is_predecessor_hung = False
+        self.predecessor_descriptors: int | None = None  # None until the predecessor says how many it needs
+        self._listener_released = asyncio.Event()
+
+    async def join(self, rendezvous: RendezvousSocket) -> list[socket.socket]:
+        """Asks the predecessor for the node; returns the sockets that it shares, none without one."""
+        channel, state, descriptors, self.is_predecessor_hung = await connect_to_predecessor(rendezvous)
+        self._restore_maintenance(rendezvous, None if channel is None else state)
+        if channel is None:
+            return []
+        self._restore_endpoint_list(state)
+        self.channel = channel
+        self._listener_released.clear()
+        self.context.update_limits()
+        self.context.spawn(self._follow(channel))
+        return descriptors
+
+    def _restore_maintenance(self, rendezvous: RendezvousSocket, state: WireObject | None) -> None:
+        """Restores who is in maintenance from the predecessor's state, without one from the state file."""
+        dispatcher = self.context.dispatcher
+        maintenance = rendezvous.load_state() if state is None else decode_maintenance(state)
+        try:
+            dispatcher.restore_maintenance(maintenance)
+        except (TypeError, ValueError, AttributeError) as problem:
+            log_external(f"begun without who was taken out: {problem!r}")
+        if dispatcher.maintenance.detached:
+            log_external(f"taken out by operators: {', '.join(dispatcher.maintenance.detached)}")
+
+    def _restore_endpoint_list(self, state: WireObject) -> None:
+        dispatcher = self.context.dispatcher
+        try:
+            endpoint_list = decode_endpoint_list(state)
+            dispatcher.restore_endpoint_list(endpoint_list.version, endpoint_list.entries)
+            if endpoint_list.discovery != self.context.service.config["discovery"]:
+                dispatcher.reset_list_version()
+        except (MalformedMessage, KeyError, TypeError, ValueError, IndexError) as problem:
+            log_external(f"begun without the list of the process before: {problem!r}")
+
+    async def take_over(self) -> None:
+        """Tells the predecessor to stop accepting, and waits until it has.
+
+        What the predecessor has accepted it finishes or hands over.
+        """
+        if self.channel is not None:
+            self.channel.send(TakeOver().to_wire())
+            await self._listener_released.wait()
+
+    async def _follow(self, channel: ControlChannel) -> None:
+        """Acts on the predecessor's messages until it ends."""
+        try:
+            while True:
+                wire, descriptors = await channel.receive()
+                try:
+                    message = decode(wire)
+                except HandoverError as problem:
+                    log_exception("going on with a task", problem)
+                    for descriptor in descriptors:
+                        descriptor.close()
+                    continue
+                self._handle(channel, message, descriptors)
+        except ChannelClosed:
+            log_external("the process before has ended; this one has the whole of the limits")
+        except Exception as problem:
+            log_exception("following the process before", problem)
+        finally:
+            self.channel = None
+            self.predecessor_descriptors = None
+            channel.close()
+            self._listener_released.set()
+            self.context.update_limits()
+
+    def _handle(
+        self, channel: ControlChannel, message: Message | None, descriptors: list[socket.socket]
+    ) -> None:
+        match message:
+            case IdleConnectionHandover():
+                self._adopt_idle_connection(message, descriptors[0])
+            case ClientHandover():
+                self.context.service.clients.adopt(descriptors[0], message.has_sent_request)
+            case RequestHandover():
+                self._resume_request(message, *descriptors)
+            case ListenerReleased():
+                self._listener_released.set()
+            case DescriptorsHeld():
+                self.predecessor_descriptors = message.count
+                self.context.update_limits()
+            case _:
+                self.context.handle_operator_message(channel, message)
+
+    def _adopt_idle_connection(self, message: IdleConnectionHandover, sock: socket.socket) -> None:
+        executor = self.context.dispatcher.executors.get(message.executor)
+        if executor is None:
+            sock.close()
+            return
+        try:
+            self.context.service.executors.adopt(
+                cast("Endpoint", executor.ref), sock, message.idle_since, message.round_trip_s
+            )
+        except OSError:  # the executor closed it on the way
+            sock.close()
+
+    def _resume_request(
+        self, message: RequestHandover, client_socket: socket.socket, executor_socket: socket.socket
+    ) -> None:
+        """Continues a request in work, with its client's connection and its executor's."""
+        service = self.context.service
+        request_id = message.client_request.request_id
+        elapsed_s = monotonic() - message.sent_at
+        pending = resume_request(
+            self.context.dispatcher, message.request, elapsed_s, request_id.decode(TEXT_ENCODING)
+        )
+        service.clients.resume(client_socket, pending, message.client_request)
+        service.executors.resume(
+            pending, message.request.attempt_in_flight, executor_socket, request_id, message.response_bytes
+        )
--- a/tests/golden/test_golden_processes.py
+++ b/tests/golden/test_golden_processes.py
@@ -11,7 +11,7 @@
 
 from firwalk.dispatcher import request_handover
 from firwalk.dispatcher.dispatcher import Dispatcher, PendingRequest
-from firwalk.net import control_channel, hot_restart
+from firwalk.net import control_channel, hot_restart, restart_messages, restart_predecessor, restart_successor
 from firwalk.policy.interface import EndpointState, Idempotency, Outcome
 
 SETTINGS = {
@@ -141,7 +141,9 @@
         dispatcher = new_desk(Clock(1000.0))
         dispatcher.detach_executor("e1")
         theirs.sendall(b'{"hello":1,"takes":["task"],"files":0}\n')
-        work = asyncio.create_task(new_succession(dispatcher)._attend(control_channel.ControlChannel(ours)))
+        work = asyncio.create_task(
+            new_succession(dispatcher).as_predecessor.attend(control_channel.ControlChannel(ours))
+        )
         data = await read_lines(theirs, 1)
         theirs.close()
         await work
@@ -165,9 +167,9 @@
             busy=True,
             close=lambda reason: None,
         )
-        new_succession(dispatcher, SimpleNamespace(seen=b"HTTP/1.1 200", sock=links_own))._give_task(
-            line, client
-        )
+        new_succession(
+            dispatcher, SimpleNamespace(seen=b"HTTP/1.1 200", sock=links_own)
+        ).as_predecessor._hand_over_request(line, client)
         data = await read_lines(theirs, 1)
         line.close()
         for sock in (theirs, clients_own, links_own):
@@ -241,7 +243,7 @@
     dispatcher = Dispatcher(SETTINGS, 7, Clock(1000.0), lambda: None)
     state = orjson.loads(STATE)["state"]
     dispatcher.restore_maintenance(state["out"])
-    new_succession(dispatcher)._learn(state)
+    new_succession(dispatcher).as_successor._restore_endpoint_list(state)
     assert dispatcher.version == 4
     assert list(dispatcher.endpoints.values()) == ENTRIES
     assert dispatcher.maintenance.state() == {"out": {"e1": 1000.0}, "back": {}}
@@ -250,7 +252,7 @@
 
 def test_task_is_said(monkeypatch):
     """The whole line: the task, when it was told, and its bytes as Latin-1 text."""
-    monkeypatch.setattr(hot_restart, "monotonic", lambda: 1234.5)
+    monkeypatch.setattr(restart_predecessor, "monotonic", lambda: 1234.5)
     assert said_task() == MOVED
 
 
@@ -266,8 +268,8 @@
         (sock, number, name, seen)
     )
     about = orjson.loads(MOVED)
-    about["at"] = hot_restart.monotonic()
-    process._resume(about, "client", "link")
+    about["at"] = restart_successor.monotonic()
+    process.as_successor._resume_request(restart_messages.decode(about), "client", "link")
     message = (b"r1", b"/put/k", {b"host": b"h", b"x-tenant": b"\xe9"}, b"body\xff", True)
     assert heard[0][0] == "client" and heard[0][2] == message
     assert heard[0][1] == pytest.approx(1001.73, abs=0.5)
@@ -291,10 +293,10 @@
     async def run() -> None:
         ours, theirs = socket.socketpair()
         one = control_channel.ControlChannel(ours)
-        one.say(dict(about))
+        one.send(dict(about))
         assert await read_lines(theirs, 1) == line
         theirs.sendall(line)
-        assert await one.next() == (about | {"files": 0}, [])
+        assert await one.receive() == (about | {"files": 0}, [])
         one.close()
         theirs.close()
 
@@ -308,8 +310,8 @@
         ours, theirs = socket.socketpair()
         one, other = control_channel.ControlChannel(ours), control_channel.ControlChannel(theirs)
         kept, given = socket.socketpair()
-        one.say({"client": True}, given, give=True)
-        about, files = await other.next()
+        one.send({"client": True}, given, give=True)
+        about, files = await other.receive()
         assert about == {"client": True, "files": 1} and len(files) == 1
         for thing in (one, other, kept, *files):
             thing.close()
@@ -324,12 +326,19 @@
         ours, theirs = socket.socketpair()
         line = control_channel.ControlChannel(ours)
         process = new_succession(new_desk(Clock(1000.0)))
-        process.after = line
+        process.as_predecessor.channel = line
         work = asyncio.create_task(process.tell("e1", True, False))
         assert await read_lines(theirs, 1) == (b'{"out":"e1","on":true,"sure":false,"number":1,"files":0}\n')
-        process._called(line, orjson.loads(b'{"done":1,"known":true,"files":0}'))
+        process.context.handle_operator_message(
+            line, restart_messages.decode(orjson.loads(b'{"done":1,"known":true,"files":0}'))
+        )
         assert await work is True
-        process._called(line, orjson.loads(b'{"out":"e0","on":true,"sure":false,"number":9,"files":0}'))
+        process.context.handle_operator_message(
+            line,
+            restart_messages.decode(
+                orjson.loads(b'{"out":"e0","on":true,"sure":false,"number":9,"files":0}')
+            ),
+        )
         assert await read_lines(theirs, 1) == b'{"done":9,"known":true,"files":0}\n'
         process.pass_on_reload()
         assert await read_lines(theirs, 1) == b'{"reload":true,"files":0}\n'
@@ -344,7 +353,7 @@
 
     async def run() -> None:
         ours, theirs = socket.socketpair()
-        meeting = SimpleNamespace(call=lambda: control_channel.ControlChannel(ours))
+        meeting = SimpleNamespace(connect=lambda: control_channel.ControlChannel(ours))
         work = asyncio.create_task(control_channel.connect_to_predecessor(meeting))
         assert await read_lines(theirs, 1) == b'{"hello":1,"takes":["task"],"files":0}\n'
         theirs.sendall(b'{"state":{"version":4},"files":0}\n')
@@ -369,9 +378,9 @@
     async def run() -> None:
         ours, theirs = socket.socketpair()
         process = new_succession(new_desk(Clock(1000.0)))
-        process.after = SimpleNamespace()
+        process.as_predecessor.channel = SimpleNamespace()
         theirs.sendall(told)
-        work = asyncio.create_task(process._attend(control_channel.ControlChannel(ours)))
+        work = asyncio.create_task(process.as_predecessor.attend(control_channel.ControlChannel(ours)))
         assert await read_lines(theirs, 1) == answer
         theirs.close()
         await work
@@ -386,5 +395,6 @@
     process.service.executors.adopt = lambda place, sock, since, trip: heard.append(
         (place.name, sock, since, trip)
     )
-    process._adopt(orjson.loads(b'{"link":"e1","idle_since":12.5,"trip":null,"files":1}'), "socket")
+    message = restart_messages.decode(orjson.loads(b'{"link":"e1","idle_since":12.5,"trip":null,"files":1}'))
+    process.as_successor._adopt_idle_connection(message, "socket")
     assert heard == [("e1", "socket", 12.5, None)]
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -106,19 +106,19 @@
     who.detach("e2", 1000.75)
     who.attach("e2", 1001.25)
     meeting = control_channel.RendezvousSocket(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
-    meeting.keep(who.state())
+    meeting.save_state(who.state())
     assert [path.name for path in tmp_path.iterdir()] == ["firwalk-06ab5d9f.json"]
     assert meeting.path.name == "firwalk-06ab5d9f.sock"
-    assert meeting.file.read_bytes() == OUT
+    assert meeting.state_file.read_bytes() == OUT
 
 
 def test_who_is_out_is_read(tmp_path):
     """The file gives the same executors, and times as numbers."""
     meeting = control_channel.RendezvousSocket(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
-    assert meeting.kept() == {}
-    meeting.file.write_bytes(OUT)
+    assert meeting.load_state() == {}
+    meeting.state_file.write_bytes(OUT)
     who = Maintenance()
-    who.restore(meeting.kept())
+    who.restore(meeting.load_state())
     assert (who.detached, who.attached) == ({"e1": 1000.5}, {"e2": 1001.25})
 
 
@@ -126,8 +126,8 @@
 def test_who_is_out_of_another_version_is_passed_over(tmp_path, text):
     """A file that cannot be used counts as none."""
     meeting = control_channel.RendezvousSocket(str(tmp_path), "spruce", "127.0.0.1:8000", lambda line: None)
-    meeting.file.write_bytes(text)
-    assert meeting.kept() == {}
+    meeting.state_file.write_bytes(text)
+    assert meeting.load_state() == {}
 
 
 # -- the agent ---------------------------------------------------------------------------------------------
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -19,7 +19,7 @@
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import Clients
 from firwalk.net.control_channel import ControlChannel, RendezvousSocket
-from firwalk.net.hot_restart import HotRestart
+from firwalk.net.restart_predecessor import PredecessorRole
 
 
 class Another:
@@ -274,15 +274,15 @@
         work = asyncio.create_task(w.ask(post("/act/k", name="t", X_Deadline="9000m"), pair))
         await w.until(lambda: w.executors[0].got)
         meeting = RendezvousSocket(w.folder.name, "n0", w.config["listen"], lambda line: None)
-        line = meeting.call()
-        line.say({"hello": 1})
-        about, files = await line.next()
+        line = meeting.connect()
+        line.send({"hello": 1})
+        about, files = await line.receive()
         assert "state" in about
-        line.say({"take": True})
+        line.send({"take": True})
         came = []
         while not work.done():
             try:
-                about, more = await asyncio.wait_for(line.next(), 0.1)
+                about, more = await asyncio.wait_for(line.receive(), 0.1)
             except TimeoutError:
                 continue
             came.append(about)
@@ -512,15 +512,15 @@
     said = []
     monkeypatch.setattr("firwalk.net.control_channel.log_external", said.append)
     meeting = RendezvousSocket(str(tmp_path), "n0", "127.0.0.1:1", lambda line: None)
-    meeting.file.write_bytes(text)
-    kept = meeting.kept()
+    meeting.state_file.write_bytes(text)
+    kept = meeting.load_state()
     assert kept == {} or kept["version"] == 1
     if kept:
         with pytest.raises((TypeError, ValueError, AttributeError)):
             Maintenance().restore(kept)
     assert len(said) == (not kept) and "\n" not in "".join(said)
-    meeting.keep({"out": {"e0": 5.0}})
-    assert meeting.kept()["out"] == {"e0": 5.0} and len(list(tmp_path.iterdir())) == 1
+    meeting.save_state({"out": {"e0": 5.0}})
+    assert meeting.load_state()["out"] == {"e0": 5.0} and len(list(tmp_path.iterdir())) == 1
 
 
 def test_descriptors_arrive_beside_their_lines_and_a_full_line_waits():
@@ -528,11 +528,11 @@
         one, two = (ControlChannel(sock) for sock in socket.socketpair())
         for number in range(400):
             kept, given = socket.socketpair()
-            one.say({"number": number, "fill": "x" * 900}, given, give=True)
+            one.send({"number": number, "fill": "x" * 900}, given, give=True)
             kept.sendall(b"%d" % number)
             kept.close()
         for number in range(400):
-            about, (sock,) = await asyncio.wait_for(two.next(), 2)
+            about, (sock,) = await asyncio.wait_for(two.receive(), 2)
             assert about["number"] == number and sock.recv(9) == b"%d" % number
             sock.close()
         one.close()
@@ -565,14 +565,14 @@
         sock, one.sock = one.sock, Full()
         kept, given = socket.socketpair()
         with pytest.raises(OSError):
-            one.say({"number": 1}, given, NoCopy())
+            one.send({"number": 1}, given, NoCopy())
         before = len(os.listdir("/proc/self/fd"))
         with pytest.raises(OSError):
-            one.say({"number": 2}, given, NoCopy())
-        assert len(os.listdir("/proc/self/fd")) == before and not one.out
-        one.say({"number": 3}, given)
-        about, (got,) = await asyncio.wait_for(two.next(), 2)
-        assert about["number"] == 3 and one.open and one.sock.tries == 3
+            one.send({"number": 2}, given, NoCopy())
+        assert len(os.listdir("/proc/self/fd")) == before and not one.outgoing
+        one.send({"number": 3}, given)
+        about, (got,) = await asyncio.wait_for(two.receive(), 2)
+        assert about["number"] == 3 and one.is_open and one.sock.tries == 3
         for thing in (got, kept, given, sock, two):
             thing.close()
 
@@ -582,12 +582,12 @@
 
 def test_a_process_short_of_descriptors_goes_on_handing_over():
     async def run():
-        succession, tries = HotRestart.__new__(HotRestart), []
-        line = SimpleNamespace(open=True)
+        succession, tries = PredecessorRole.__new__(PredecessorRole), []
+        line = SimpleNamespace(is_open=True)
 
         def now(_):
             tries.append(1)
-            line.open = len(tries) < 3
+            line.is_open = len(tries) < 3
             raise OSError(errno.EMFILE, "too many open files")
 
         succession._hand_over_now = now
@@ -615,8 +615,8 @@
         held = peers
         for _ in range(2):  # from the first process to the second, and from that one to the third
             one, two = (ControlChannel(sock) for sock in socket.socketpair())
-            one.say({"state": 1}, held)
-            _, (held,) = await two.next()
+            one.send({"state": 1}, held)
+            _, (held,) = await two.receive()
             assert not os.get_blocking(peers.fileno())
             one.close()
             two.close()
@@ -641,10 +641,10 @@
                 loop.call_soon(turn)
 
         for mine, _ in ends:
-            giver.say({"client": True}, mine, give=True)
+            giver.send({"client": True}, mine, give=True)
         loop.call_soon(turn)
         for _ in ends:
-            _, files = await taker.next()
+            _, files = await taker.receive()
             files[0].close()
         over.append(turns[0])
         for _, other in ends:
