--- a/firwalk/agent/__main__.py
+++ b/firwalk/agent/__main__.py
@@ -1,38 +1,41 @@
-"""Starts one agent: `python -m firwalk.agent AGENT.toml`. At SIGTERM it ends in good order, its node too.
+"""Starts one agent: `python -m firwalk.agent AGENT.toml`. SIGTERM shuts it and its node down gracefully.
 
-It reads its file at its start alone, so that SIGHUP and SIGUSR1 mean nothing to it. What it starts ignores
-both as well, until that has handlers of its own.
+The agent reads its file only at its start, so that SIGHUP and SIGUSR1 mean nothing to it. The processes that
+it starts ignore both as well, until they have handlers of their own.
 """
 
 from __future__ import annotations
 
 from firwalk import early_signals
 
-if __name__ == "__main__":  # before all that takes a while to load
+if __name__ == "__main__":  # before the slow imports
     early_signals.ignore()
 
 import asyncio
 import signal
 import sys
 
-from firwalk.agent import host_processes
+from firwalk.agent import agent_config, host_processes
 
+EXIT_CANNOT_START = 2
 
-async def _run(told: host_processes.AgentConfig) -> int:
-    made = host_processes.HostProcesses(told)
+
+async def _run(config: agent_config.AgentConfig) -> int:
+    host = host_processes.HostProcesses(config)
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, made.stopping.set)
-    return await made.run()
+        asyncio.get_running_loop().add_signal_handler(number, host.stopping.set)
+    return await host.run()
 
 
 def main() -> int:
+    """Runs the agent of the command line; returns its exit code."""
     if len(sys.argv) != 2 or sys.argv[1].startswith("-"):
         print("usage: python -m firwalk.agent AGENT.toml", file=sys.stderr)
-        return 2
-    told, faults = host_processes.load(sys.argv[1])
+        return EXIT_CANNOT_START
+    config, faults = agent_config.load(sys.argv[1])
     for fault in faults:
         print(f"firwalk: cannot start: {fault}", file=sys.stderr)
-    return 2 if told is None else asyncio.run(_run(told))
+    return EXIT_CANNOT_START if config is None else asyncio.run(_run(config))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/firwalk/agent/state_file.py
@@ -0,0 +1,80 @@
+"""The state file of an agent, and how its processes are found again after the agent has restarted."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Iterable
+from contextlib import suppress
+from pathlib import Path
+
+import msgspec
+import psutil
+from msgspec import Struct
+
+from firwalk.agent.supervisor_state import SupervisorState
+from firwalk.observability.log import log_external
+
+STATE = "agent.json"
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
+START_TICKS_INDEX = 19  # in proc_pid_stat(5), counted from behind the name: field 22
+SAME_START_S = 0.1  # by which two readings of one start time may differ
+
+
+class StoredState(Struct, rename={"state": "kept", "start_times": "created", "boot_id": "boot"}):
+    """The content of the state file.
+
+    `start_times` tells a process from a later one with the same pid. They are in seconds since the boot of
+    that id; without an id they are wall-clock times, as earlier agents wrote them.
+    """
+
+    state: SupervisorState
+    start_times: dict[int, float]
+    boot_id: str = ""
+
+
+def boot_id() -> str:
+    """The id of the machine's current boot."""
+    return BOOT_ID_PATH.read_text().strip()
+
+
+def start_time_s(pid: int) -> float:
+    """When a process was started, in seconds since boot: unlike wall-clock time it never steps.
+
+    Raises OSError if the process is gone.
+    """
+    words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return int(words[START_TICKS_INDEX]) / os.sysconf("SC_CLK_TCK")
+
+
+def read(folder: Path) -> StoredState | None:
+    """The stored state; None, with a log line unless there is no file, if it cannot be used."""
+    try:
+        return msgspec.json.decode((folder / STATE).read_bytes(), type=StoredState)
+    except FileNotFoundError:
+        return None
+    except (OSError, msgspec.DecodeError) as problem:
+        log_external(f"agent: begun without what {STATE} keeps: {' '.join(str(problem).split())}")
+        return None
+
+
+def write(folder: Path, state: SupervisorState, pids: Iterable[int]) -> None:
+    """Replaces the state file atomically; raises OSError."""
+    start_times: dict[int, float] = {}
+    for pid in pids:
+        with suppress(OSError):
+            start_times[pid] = start_time_s(pid)
+    new_file = folder / f"{STATE}.part"
+    new_file.write_bytes(msgspec.json.encode(StoredState(state, start_times, boot_id())))
+    new_file.replace(folder / STATE)
+
+
+def find_process(pid: int, stored: StoredState) -> psutil.Process | None:
+    """The process that an earlier agent started, if it is still there."""
+    try:
+        if pid not in stored.start_times or stored.boot_id not in ("", boot_id()):
+            return None
+        process = psutil.Process(pid)
+        started_at = start_time_s(pid) if stored.boot_id else process.create_time()
+    except (OSError, psutil.Error, ValueError):
+        return None
+    return process if abs(started_at - stored.start_times[pid]) < SAME_START_S else None
--- a/firwalk/agent/supervisor.py
+++ b/firwalk/agent/supervisor.py
@@ -1,360 +1,351 @@
-"""What an agent does with its node's processes: decisions, without I/O.
+"""Decisions of an agent about the processes of its node. No I/O.
 
-To replace a process the new one is started beside the old one, which is ended only when the new one is
-ready and has said that it follows a plan in force which wants it ("commit confirmed": RFC 6241, 8.4). A new
-one that does not come that far is killed, and the old one, which had handed over, serves again.
+To replace a process, the agent starts a candidate beside the serving process. The serving process is
+terminated only when the candidate is ready and has reported that it follows a plan in force which wants it
+("commit confirmed": RFC 6241, 8.4). A candidate that does not come that far is ended, and the process that
+had handed over to it serves again.
 
-A method for each thing that can happen, with the time first; acts through `Host`. Times are seconds on the
-agent's monotonic clock.
+`Supervisor` has one method for each kind of event, with the time first, and acts through `Host`. Times are
+seconds on the agent's monotonic clock.
 """
 
 from __future__ import annotations
 
 import signal
-from dataclasses import dataclass, field
-from typing import Protocol
 
-READY = 20.0  # seconds in which a new process must be ready
-CONFIRM = 15.0  # and, once it is, follow a plan that wants it
-END = 6.0  # seconds in which one that was told to end does
-HANG = 5.0  # seconds without an answer after which the serving one hangs
-FIRST_WAIT, MOST_WAIT = 0.5, 30.0  # seconds before a lost one is started again, doubled each time
-AGAIN = 5.0  # seconds before what could not be had is tried again, on the way back
-CALM = 60.0  # seconds of service after which losses are forgotten
-FALSE_CHECKS = 3  # in a row, after which the new version is said to answer wrongly
-OUTSIDE = (-signal.SIGKILL, -signal.SIGTERM, -signal.SIGINT)  # ends that say nothing of a version
+from firwalk.agent.supervisor_state import ChildProcess, Host, RolloutOrder, SupervisorState, Timeouts
 
-
-@dataclass
-class ChildProcess:
-    """One process of the node. `number`: of the change on trial for which it runs, 0: of none."""
-
-    release: str
-    slot: int  # which of the second addresses it has
-    pid: int = 0
-    number: int = 0
-    started: float = 0.0
-    ready_at: float = 0.0  # 0: not ready yet
-    heard_at: float = 0.0  # when it answered last
-    told_end: float = 0.0  # when it was told to end; 0: it was not
-    killed: bool = False
-
-
-@dataclass
-class RolloutOrder:
-    """What the plan wants of this node, as its process says: of the change `number`, `kind` and `what`.
-    `trial`: the change is not over, so that a version which fails is told and left."""
-
-    number: int
-    kind: str
-    what: str
-    trial: bool = True
-
-
-@dataclass
-class SupervisorState:
-    """What is written down before each step, for an agent that begins anew."""
-
-    release: str
-    tag: str = ""
-    before: str = ""  # the release, or tag, that the change under way goes back to
-    failed: dict[int, str] = field(default_factory=dict)  # by change: why this node could not have it
-    told: list[int] = field(default_factory=list)  # of these, which the coordinator has heard
-    serving: ChildProcess | None = None
-    coming: ChildProcess | None = None
-    leaving: ChildProcess | None = None
-
-
-class Host(Protocol):
-    def start(self, release: str, slot: int) -> int:
-        """Starts the node's process of that release; its pid, 0 if it cannot be started."""
-
-    def end(self, child: ChildProcess) -> None:
-        """Tells it to end."""
-
-    def kill(self, child: ChildProcess) -> None:
-        """Ends it at once."""
-
-    def apply(self, tag: str) -> str:
-        """Writes the configuration with these settings and tells the serving process to read it; the reason,
-        if it cannot be."""
-
-    def tell_failed(self, number: int, why: str) -> None:
-        """Says so through the serving process, which passes it on; `told` follows."""
-
-    def keep(self, kept: SupervisorState) -> None:
-        """Writes it down, whole."""
-
-    def event(self, what: str, **about: object) -> None:
-        """A line for operators."""
-
-
-@dataclass(frozen=True)
-class Times:
-    """Seconds: in which a new process must be ready; and, once it is, follow a plan that wants it; without an
-    answer after which the serving one hangs."""
-
-    ready: float = READY
-    confirm: float = CONFIRM
-    hang: float = HANG
+TERMINATE_TIMEOUT_S = 6.0
+FIRST_RESTART_BACKOFF_S = 0.5  # doubled with each loss
+MAX_RESTART_BACKOFF_S = 30.0
+RETRY_INTERVAL_S = 5.0
+STABLE_SERVICE_S = 60.0  # after which earlier losses are forgotten
+MAX_FAILED_CHECKS = 3
+EXTERNAL_EXIT_CODES = (-signal.SIGKILL, -signal.SIGTERM, -signal.SIGINT)  # say nothing of a release
 
 
 class Supervisor:
-    def __init__(self, host: Host, kept: SupervisorState, times: Times | None = None):
-        self.host, self.kept, self.times = host, kept, times or Times()
-        self.lost, self.start_at, self.applied_at, self.again_at = 0, 0.0, 0.0, 0.0
-        self.applying: RolloutOrder | None = None
-        self.wrong, self.ending = 0, False
-
-    # -- what happens --------------------------------------------------------------------------------------
-
-    def begun(self, now: float) -> None:
-        """The agent begins. Processes that it knows of are found or told lost by whoever looks."""
-        for child in self.children():
-            child.started, child.heard_at = now, now
+    """The supervisor of one node's processes."""
+
+    def __init__(self, host: Host, state: SupervisorState, timeouts: Timeouts | None = None) -> None:
+        self.host = host
+        self.state = state
+        self.timeouts = timeouts or Timeouts()
+        self.applying: RolloutOrder | None = None  # settings that are not in force yet
+        self.applied_at = 0.0
+        self.restart_at = 0.0
+        self.retry_at = 0.0
+        self.losses = 0  # of serving processes in a row
+        self.failed_checks = 0  # in a row
+        self.is_stopping = False
+
+    # -- events --------------------------------------------------------------------------------------------
+
+    def agent_started(self, now: float) -> None:
+        """Continues from the stored state; the host finds its processes or reports their end."""
+        state = self.state
+        for child in state.children():
+            child.started_at = now
+            child.answered_at = now
             child.ready_at = child.ready_at and now
-        if self.kept.leaving is not None:  # told once more: the agent may have died just before
-            self.kept.leaving.told_end = now
-            self.host.end(self.kept.leaving)
-        if self.kept.serving is None and self.kept.coming is not None and self.kept.leaving is None:
-            self.kept.serving, self.kept.coming = self.kept.coming, None
+        if state.draining is not None:  # again: the agent may have ended just before it told the process
+            self._terminate(now, state.draining)
+        if state.serving is None and state.draining is None:
+            self._promote_candidate()
         self.tick(now)
 
     def children(self) -> list[ChildProcess]:
-        return [child for child in (self.kept.serving, self.kept.coming, self.kept.leaving) if child]
+        """All processes of the node."""
+        return self.state.children()
 
-    def answered(self, now: float, child: ChildProcess, ready: bool) -> None:
-        """Its second address answered, and whether it takes clients."""
-        child.heard_at = now
-        if ready and not child.ready_at:
+    def process_answered(self, now: float, child: ChildProcess, is_ready: bool) -> None:
+        """The process answered on its management address, and said whether it accepts clients."""
+        child.answered_at = now
+        if is_ready and not child.ready_at:
             child.ready_at = now
             self.host.event("ready", release=child.release, pid=child.pid)
 
-    def ended(self, now: float, child: ChildProcess, code: int | None) -> None:
-        """The process is gone; `code` as of subprocess, None: nobody knows it."""
-        kept = self.kept
-        which = "serving" if child is kept.serving else "coming" if child is kept.coming else "leaving"
-        self.host.event(
-            "process_ended",
-            release=child.release,
-            pid=child.pid,
-            which=which,
-            code=code if code is not None else "unknown",
-        )
-        if child is kept.leaving:
-            kept.leaving = None
-            self.host.keep(kept)
-        elif child is kept.coming:
-            kept.coming = None
-            self.again_at = now + AGAIN
-            if not self.ending:
-                told = child.killed or child.told_end
-                self._failed(now, child.number, "" if told else "it does not come up")
-        elif child is kept.serving:
-            self._lost(now, child, code)
-
-    def _lost(self, now: float, child: ChildProcess, code: int | None) -> None:
-        kept = self.kept
-        kept.serving = None
-        if self.ending:
+    def process_ended(self, now: float, child: ChildProcess, exit_code: int | None) -> None:
+        """The process is gone; the code is as of `subprocess`, None if nobody knows it."""
+        self._log_end(child, exit_code)
+        state = self.state
+        if child is state.draining:
+            state.draining = None
+            self.host.save(state)
+        elif child is state.candidate:
+            state.candidate = None
+            self.retry_at = now + RETRY_INTERVAL_S
+            if not self.is_stopping:
+                was_ended_here = child.is_killed or child.terminated_at
+                self._fail(child.rollout_number, "" if was_ended_here else "it does not come up")
+        elif child is state.serving:
+            self._serving_ended(now, child, exit_code)
+
+    def check_completed(self, is_good: bool) -> None:
+        """The operators' check of the serving process has ended."""
+        child = self.state.serving
+        self.failed_checks = 0 if is_good else self.failed_checks + 1
+        if self.failed_checks < MAX_FAILED_CHECKS or child is None or not self._is_on_trial(child):
+            return
+        if child.rollout_number not in self.state.failures:
+            self._fail(child.rollout_number, "the check says that it answers wrongly")
+
+    def failure_acknowledged(self, rollout_number: int) -> None:
+        """The coordinator knows that the rollout failed on this node."""
+        if rollout_number not in self.state.acknowledged_failures:
+            self.state.acknowledged_failures.append(rollout_number)
+            self.host.save(self.state)
+
+    def plan_reported(self, now: float, child: ChildProcess, order: RolloutOrder | None, tag: str) -> None:
+        """The process reported the plan's order, None without a plan in force, and the tag that it runs."""
+        if order is None:
+            return
+        if child is self.state.candidate:
+            self._candidate_reported(now, child, order)
+        elif child is self.state.serving:
+            if order.is_release():
+                self._release_ordered(now, child, order)
+            else:
+                self._settings_ordered(now, order, tag)
+
+    def tick(self, now: float) -> None:
+        """Takes the steps that are due by time."""
+        state = self.state
+        is_vacant = state.serving is None and state.candidate is None and not self.is_stopping
+        if is_vacant and now >= self.restart_at:
+            self._start_serving(now)
+        if state.candidate is not None and not self.is_stopping:
+            self._check_candidate(now, state.candidate)
+        for child in self.children():
+            is_overdue = child.terminated_at and now >= child.terminated_at + TERMINATE_TIMEOUT_S
+            if is_overdue and not child.is_killed:
+                self._kill(child)
+        serving = state.serving
+        if serving is not None:
+            if state.candidate is None and self._is_hanging(now, serving):
+                self._serving_hangs(now, serving)
+            self._report_failures(serving)
+
+    def stop(self, now: float) -> bool:
+        """The agent shuts down, and its node with it; returns whether all processes are gone."""
+        self.is_stopping = True
+        for child in self.children():
+            if not child.terminated_at:
+                self._terminate(now, child)
+        return not self.children()
+
+    # -- the end of a process ------------------------------------------------------------------------------
+
+    def _log_end(self, child: ChildProcess, exit_code: int | None) -> None:
+        role = "leaving"
+        if child is self.state.serving:
+            role = "serving"
+        elif child is self.state.candidate:
+            role = "coming"
+        code = "unknown" if exit_code is None else exit_code
+        self.host.event("process_ended", release=child.release, pid=child.pid, which=role, code=code)
+
+    def _serving_ended(self, now: float, child: ChildProcess, exit_code: int | None) -> None:
+        state = self.state
+        state.serving = None
+        if self.is_stopping:
             return
-        crashed = code is not None and code not in (0, *OUTSIDE) and not child.killed
-        if kept.coming is not None:  # the new one has the whole node now
-            kept.serving, kept.coming = kept.coming, None
-        elif crashed and self._on_trial(child):
-            self._go_back(now, child, f"it crashed with {code}")
+        is_crash = exit_code is not None and exit_code not in (0, *EXTERNAL_EXIT_CODES)
+        if state.candidate is not None:
+            self._promote_candidate()
+        elif is_crash and not child.is_killed and self._is_on_trial(child):
+            self._roll_back(now, child, f"it crashed with {exit_code}")
         else:
-            if child.heard_at > child.started + CALM:
-                self.lost = 0
-            self.lost += 1
-            self.start_at = now + min(FIRST_WAIT * 2 ** (self.lost - 1), MOST_WAIT)
-        self.host.keep(kept)
-
-    def _on_trial(self, child: ChildProcess | None) -> bool:
-        """It runs a version that a change brings, and there is one before it to go back to."""
-        return bool(
-            child is not None and child.number and self.kept.before and child.release != self.kept.before
-        )
+            if child.answered_at > child.started_at + STABLE_SERVICE_S:
+                self.losses = 0
+            self.losses += 1
+            backoff_s = min(FIRST_RESTART_BACKOFF_S * 2 ** (self.losses - 1), MAX_RESTART_BACKOFF_S)
+            self.restart_at = now + backoff_s
+        self.host.save(state)
+
+    def _promote_candidate(self) -> None:
+        """Without another process of the node, the candidate serves."""
+        if self.state.candidate is not None:
+            self.state.serving = self.state.candidate
+            self.state.candidate = None
+
+    def _is_on_trial(self, child: ChildProcess) -> bool:
+        """Whether it runs a release of a rollout that is not over, and there is one to go back to."""
+        previous = self.state.previous
+        return bool(child.rollout_number and previous and child.release != previous)
+
+    def _roll_back(self, now: float, child: ChildProcess, reason: str) -> None:
+        """Returns to the previous release at once: the process on trial is gone or of no use."""
+        self.state.release = self.state.previous
+        self._fail(child.rollout_number, reason)
+        self.restart_at = now
+
+    def _fail(self, rollout_number: int, reason: str) -> None:
+        """Notes the first failure of a rollout, if there is a rollout and a reason; saves the state."""
+        if rollout_number and reason and rollout_number not in self.state.failures:
+            self.state.failures[rollout_number] = reason
+            self.host.event("change_failed", number=rollout_number, why=reason)
+        self.host.save(self.state)
+
+    def _report_failures(self, serving: ChildProcess) -> None:
+        if not serving.ready_at or serving.is_killed:
+            return
+        for rollout_number, reason in self.state.failures.items():
+            if rollout_number not in self.state.acknowledged_failures:
+                self.host.report_failure(rollout_number, reason)
+
+    # -- releases ------------------------------------------------------------------------------------------
 
-    def _go_back(self, now: float, child: ChildProcess, why: str) -> None:
-        """The serving process of a version on trial is no more, or of no use: the one before, at once."""
-        self.kept.release = self.kept.before
-        self._failed(now, child.number, why)
-        self.start_at = now
-
-    def _failed(self, now: float, number: int, why: str) -> None:
-        if number and why and number not in self.kept.failed:
-            self.kept.failed[number] = why
-            self.host.event("change_failed", number=number, why=why)
-        self.host.keep(self.kept)
-
-    def checked(self, now: float, good: bool) -> None:
-        """The operators' own check of the serving process."""
-        child = self.kept.serving
-        self.wrong = 0 if good else self.wrong + 1
-        if self.wrong >= FALSE_CHECKS and self._on_trial(child) and child.number not in self.kept.failed:
-            self._failed(now, child.number, "the check says that it answers wrongly")
-
-    def told(self, now: float, number: int) -> None:
-        """The coordinator has heard that this node could not have that change."""
-        if number not in self.kept.told:
-            self.kept.told.append(number)
-            self.host.keep(self.kept)
-
-    def wanted(self, now: float, child: ChildProcess, order: RolloutOrder | None, tag: str) -> None:
-        """What a process says of the plan; None: it follows none in force. `tag`: of the settings it runs."""
-        if child is self.kept.coming and child.told_end:
+    def _candidate_reported(self, now: float, child: ChildProcess, order: RolloutOrder) -> None:
+        if child.terminated_at or not child.ready_at:
             return
-        if child is self.kept.coming:
-            if (
-                order is not None
-                and child.ready_at
-                and (order.kind != "release" or order.what == child.release)
-            ):
-                self._confirmed(now, child)
-            elif order is not None and child.ready_at:
-                self._let_go(now, child, "")  # it is not wanted any more
-        elif child is self.kept.serving and order is not None:
-            if order.kind == "release":
-                self._want(now, order)
-            else:
-                self._want_settings(now, order, tag)
-
-    def _confirmed(self, now: float, child: ChildProcess) -> None:
-        """The old one may go: from here on the new one is the node."""
-        kept = self.kept
-        kept.before = kept.serving.release if kept.serving else kept.before
-        kept.leaving, kept.serving, kept.coming = kept.serving, child, None
-        kept.release, self.lost, self.wrong = child.release, 0, 0
-        self.host.keep(kept)
+        if not order.is_release() or order.target == child.release:
+            self._confirm(now, child)
+        else:  # it is not wanted any more
+            self._give_up(now, child, "")
+
+    def _confirm(self, now: float, child: ChildProcess) -> None:
+        """From here on the candidate is the node, and the process before it may go."""
+        state = self.state
+        state.previous = state.serving.release if state.serving else state.previous
+        state.draining = state.serving
+        state.serving = child
+        state.candidate = None
+        state.release = child.release
+        self.losses = 0
+        self.failed_checks = 0
+        self.host.save(state)
         self.host.event("confirmed", release=child.release, pid=child.pid)
-        if kept.leaving is not None:
-            kept.leaving.told_end = now
-            self.host.end(kept.leaving)
+        if state.draining is not None:
+            self._terminate(now, state.draining)
 
-    def _want(self, now: float, order: RolloutOrder) -> None:
-        kept = self.kept
-        if kept.coming is not None or kept.leaving is not None or self.ending:
+    def _release_ordered(self, now: float, serving: ChildProcess, order: RolloutOrder) -> None:
+        state = self.state
+        if state.candidate is not None or state.draining is not None or self.is_stopping:
             return
-        if kept.serving.release == order.what:
-            kept.serving.number = order.number if order.trial and order.what != kept.before else 0
-        elif not (order.trial and order.number in kept.failed) and now >= self.again_at:
-            kept.before = kept.serving.release
-            self._start(now, order)
-
-    def _start(self, now: float, order: RolloutOrder) -> None:
-        kept = self.kept
-        number = order.number if order.trial else 0  # back: tried until it succeeds
-        child = ChildProcess(order.what, 1 - kept.serving.slot, number=number, started=now, heard_at=now)
-        kept.coming = child
-        self.host.keep(kept)
-        child.pid = self.host.start(child.release, child.slot)
-        self.host.event("starting", release=child.release, pid=child.pid, number=order.number)
+        if serving.release == order.target:
+            is_on_trial = order.is_on_trial and order.target != state.previous
+            serving.rollout_number = order.rollout_number if is_on_trial else 0
+            return
+        has_failed = order.is_on_trial and order.rollout_number in state.failures
+        if not has_failed and now >= self.retry_at:
+            state.previous = serving.release
+            self._start_candidate(now, serving, order)
+
+    def _start_candidate(self, now: float, serving: ChildProcess, order: RolloutOrder) -> None:
+        state = self.state
+        rollout_number = order.rollout_number if order.is_on_trial else 0  # a way back is always retried
+        child = ChildProcess(
+            order.target,
+            1 - serving.slot,
+            rollout_number=rollout_number,
+            started_at=now,
+            answered_at=now,
+        )
+        state.candidate = child
+        self._start(child, order.rollout_number)
         if not child.pid:
-            kept.coming, self.again_at = None, now + AGAIN
-            self._failed(now, number, f"there is no release {child.release} here that can be started")
-        self.host.keep(kept)
-
-    def _let_go(self, now: float, child: ChildProcess, why: str) -> None:
-        """It has clients by now, and finishes what it took before it goes; then the old one serves again."""
-        child.told_end = now
-        self._failed(now, child.number, why)
-        self.host.end(child)
-
-    def _drop(self, now: float, child: ChildProcess, why: str) -> None:
-        child.killed = True
-        self._failed(now, child.number, why)
+            state.candidate = None
+            self.retry_at = now + RETRY_INTERVAL_S
+            self._fail(rollout_number, f"there is no release {child.release} here that can be started")
+        self.host.save(state)
+
+    def _start_serving(self, now: float) -> None:
+        state = self.state
+        slot = 1 - state.draining.slot if state.draining is not None else 0
+        child = ChildProcess(state.release, slot, started_at=now, answered_at=now)
+        state.serving = child
+        self._start(child, 0)
+        if not child.pid:
+            state.serving = None
+            self.restart_at = now + MAX_RESTART_BACKOFF_S
+        self.host.save(state)
+
+    def _start(self, child: ChildProcess, rollout_number: int) -> None:
+        """Starts a process that is in the state already, so that an agent that ends here knows of it."""
+        self.host.save(self.state)
+        child.pid = self.host.start(child.release, child.slot)
+        self.host.event("starting", release=child.release, pid=child.pid, number=rollout_number)
+
+    def _check_candidate(self, now: float, child: ChildProcess) -> None:
+        """Ends a candidate that has missed one of its timeouts."""
+        if child.is_killed or child.terminated_at:
+            return
+        if not child.ready_at:
+            if now >= child.started_at + self.timeouts.ready_s:
+                self._drop(child, "it is not ready in time")
+        elif now >= child.answered_at + self.timeouts.hang_s:
+            self._drop(child, "it hangs")
+        elif now >= child.ready_at + self.timeouts.confirm_s:
+            self._give_up(now, child, "it does not follow the plan")
+
+    def _give_up(self, now: float, child: ChildProcess, reason: str) -> None:
+        """Terminates a candidate that has clients by now; then the serving process accepts again."""
+        child.terminated_at = now
+        self._fail(child.rollout_number, reason)
+        self.host.terminate(child)
+
+    def _drop(self, child: ChildProcess, reason: str) -> None:
+        """Kills a candidate that is of no use."""
+        child.is_killed = True
+        self._fail(child.rollout_number, reason)
+        self.host.kill(child)
+
+    def _terminate(self, now: float, child: ChildProcess) -> None:
+        child.terminated_at = now
+        self.host.terminate(child)
+
+    def _kill(self, child: ChildProcess) -> None:
+        child.is_killed = True
+        self.host.kill(child)
+
+    def _is_hanging(self, now: float, child: ChildProcess) -> bool:
+        if not child.ready_at or child.terminated_at or child.is_killed:
+            return False
+        return now >= child.answered_at + self.timeouts.hang_s
+
+    def _serving_hangs(self, now: float, child: ChildProcess) -> None:
+        child.is_killed = True
+        self.host.event("hangs", release=child.release, pid=child.pid)
+        if self._is_on_trial(child):
+            self._roll_back(now, child, "it hangs")
         self.host.kill(child)
 
     # -- settings ------------------------------------------------------------------------------------------
 
-    def _want_settings(self, now: float, order: RolloutOrder, tag: str) -> None:
-        """Applied, and told to have failed if they are not in force in time: those before are put back."""
-        kept = self.kept
-        if tag == order.what:
-            if self.applying is not None and self.applying.what == tag:
+    def _settings_ordered(self, now: float, order: RolloutOrder, tag: str) -> None:
+        """Applies the settings; those that are not in force in time are put back and reported."""
+        applying = self.applying
+        if tag == order.target:
+            if applying is not None and applying.target == tag:
                 self.applying = None
                 self.host.event("confirmed", tag=tag)
-            return
-        if (
-            self.applying is not None
-            and self.applying.number == order.number
-            and (self.applying.what == order.what)
-        ):
-            if now >= self.applied_at + self.times.confirm:
+        elif applying is not None and _is_same_rollout(applying, order):
+            if now >= self.applied_at + self.timeouts.confirm_s:
                 self._settings_failed(now, order, "the settings were not taken over")
-            return
-        if order.trial and order.number in kept.failed or now < self.again_at:
-            return
-        kept.before, kept.tag = tag, order.what
-        self.host.keep(kept)
-        self.applying, self.applied_at = order, now
-        reason = self.host.apply(order.what)
-        self.host.event("applied", tag=order.what, number=order.number)
+        elif now >= self.retry_at:
+            has_failed = order.is_on_trial and order.rollout_number in self.state.failures
+            if not has_failed:
+                self._apply_settings(now, order, tag)
+
+    def _apply_settings(self, now: float, order: RolloutOrder, previous_tag: str) -> None:
+        self.state.previous = previous_tag
+        self.state.tag = order.target
+        self.host.save(self.state)
+        self.applying = order
+        self.applied_at = now
+        reason = self.host.apply_settings(order.target)
+        self.host.event("applied", tag=order.target, number=order.rollout_number)
         if reason:
             self._settings_failed(now, order, reason)
 
-    def _settings_failed(self, now: float, order: RolloutOrder, why: str) -> None:
-        kept = self.kept
-        kept.tag, self.applying, self.again_at = kept.before, None, now + AGAIN
-        self._failed(now, order.number if order.trial else 0, why)
-        self.host.apply(kept.before)
-
-    # -- time ----------------------------------------------------------------------------------------------
-
-    def tick(self, now: float) -> None:
-        kept = self.kept
-        if kept.serving is None and not self.ending and kept.coming is None and now >= self.start_at:
-            self._serve(now)
-        coming = kept.coming
-        if coming is not None and not coming.killed and not coming.told_end and not self.ending:
-            if not coming.ready_at and now >= coming.started + self.times.ready:
-                self._drop(now, coming, "it is not ready in time")
-            elif coming.ready_at and now >= coming.heard_at + self.times.hang:
-                self._drop(now, coming, "it hangs")
-            elif coming.ready_at and now >= coming.ready_at + self.times.confirm:
-                self._let_go(now, coming, "it does not follow the plan")
-        for child in self.children():
-            if child.told_end and now >= child.told_end + END and not child.killed:
-                child.killed = True
-                self.host.kill(child)
-        serving = kept.serving
-        if (
-            serving is not None
-            and serving.ready_at
-            and not serving.told_end
-            and not serving.killed
-            and (now >= serving.heard_at + self.times.hang)
-            and kept.coming is None
-        ):
-            self._hangs(now, serving)
-        for number, why in kept.failed.items():
-            if number not in kept.told and serving is not None and serving.ready_at and not serving.killed:
-                self.host.tell_failed(number, why)
-
-    def _hangs(self, now: float, child: ChildProcess) -> None:
-        child.killed = True
-        self.host.event("hangs", release=child.release, pid=child.pid)
-        if self._on_trial(child):
-            self._go_back(now, child, "it hangs")
-        self.host.kill(child)
+    def _settings_failed(self, now: float, order: RolloutOrder, reason: str) -> None:
+        self.state.tag = self.state.previous
+        self.applying = None
+        self.retry_at = now + RETRY_INTERVAL_S
+        self._fail(order.rollout_number if order.is_on_trial else 0, reason)
+        self.host.apply_settings(self.state.previous)
 
-    def _serve(self, now: float) -> None:
-        kept = self.kept
-        slot = 1 - kept.leaving.slot if kept.leaving is not None else 0
-        child = kept.serving = ChildProcess(kept.release, slot, started=now, heard_at=now)
-        self.host.keep(kept)
-        child.pid = self.host.start(child.release, child.slot)
-        self.host.event("starting", release=child.release, pid=child.pid, number=0)
-        if not child.pid:
-            kept.serving, self.start_at = None, now + MOST_WAIT
-        self.host.keep(kept)
 
-    def stop(self, now: float) -> bool:
-        """The agent is told to end, and its node with it; whether all are gone."""
-        self.ending = True
-        for child in self.children():
-            if not child.told_end:
-                child.told_end = now
-                self.host.end(child)
-        return not self.children()
+def _is_same_rollout(one: RolloutOrder, other: RolloutOrder) -> bool:
+    return one.rollout_number == other.rollout_number and one.target == other.target
--- a/tests/agent/test_machine.py
+++ b/tests/agent/test_machine.py
@@ -10,9 +10,11 @@
 import psutil
 import pytest
 
-from firwalk.agent import host_processes as machine_module
-from firwalk.agent.host_processes import STATE, AgentConfig, HostProcesses
-from firwalk.agent.supervisor import ChildProcess
+from firwalk.agent import state_file
+from firwalk.agent.agent_config import AgentConfig
+from firwalk.agent.host_processes import HostProcesses
+from firwalk.agent.state_file import STATE
+from firwalk.agent.supervisor_state import ChildProcess
 
 
 @pytest.fixture
@@ -40,8 +42,8 @@
     """An agent whose node that process is; it is in the file."""
     made = HostProcesses(settings)
     made.processes[process.pid] = process
-    made.kept.serving = ChildProcess("v1", 0, pid=process.pid)
-    made.keep(made.kept)
+    made.state.serving = ChildProcess("v1", 0, pid=process.pid)
+    made.save(made.state)
     return made
 
 
@@ -63,7 +65,7 @@
 
 def test_processes_of_another_boot_are_other_ones(settings, child, monkeypatch):
     serving(settings, child)
-    monkeypatch.setattr(machine_module, "boot_id", lambda: "another")
+    monkeypatch.setattr(state_file, "boot_id", lambda: "another")
     assert not HostProcesses(settings).processes
 
 
@@ -89,12 +91,13 @@
         return real(path, data)
 
     monkeypatch.setattr(Path, "write_bytes", write_bytes)
-    made.kept.release = "v2"
-    made.keep(made.kept)
-    assert HostProcesses(settings).kept.release == "v1"
-    made.keep_again()
+    made.state.release = "v2"
+    made.save(made.state)
+    assert HostProcesses(settings).state.release == "v1"
+    made.retry_save()
     full[0] = False
-    made.keep_again()
+    made.retry_save()
     assert (
-        HostProcesses(settings).kept.release == "v2" and HostProcesses(settings).kept.serving.pid == child.pid
+        HostProcesses(settings).state.release == "v2"
+        and HostProcesses(settings).state.serving.pid == child.pid
     )
--- a/tests/fleet/test_operations.py
+++ b/tests/fleet/test_operations.py
@@ -11,7 +11,7 @@
 import pytest
 from helpers import World, free_port, post
 
-from firwalk.agent import host_processes
+from firwalk.agent import agent_config
 from firwalk.broker import contracts
 from firwalk.config import operations, rollout_file
 from firwalk.lab import scenario
@@ -110,16 +110,16 @@
         assert f"\n# {key} = " in (ROOT / "deploy" / "cluster.toml").read_text()
         assert f"`stages.{key}`" in page
     text = (ROOT / "deploy" / "agent.toml").read_text()
-    for key in host_processes.AgentConfig.__struct_fields__:
+    for key in agent_config.AgentConfig.__struct_fields__:
         assert f"\n{key} = " in text and f"`{key}`" in page
     (tmp_path / "agent.toml").write_text(text)
-    told, faults = host_processes.load(str(tmp_path / "agent.toml"))
+    told, faults = agent_config.load(str(tmp_path / "agent.toml"))
     assert told is None and [fault.split(": ")[1] for fault in faults] == ["config", "release"]
     (tmp_path / "node.json").write_text("{}")
     (tmp_path / "releases" / "v1").mkdir(parents=True)
     (tmp_path / "releases" / "v1" / "run").write_text("#!/bin/sh\n")
     (tmp_path / "releases" / "v1" / "run").chmod(0o755)
-    told, faults = host_processes.load(str(tmp_path / "agent.toml"))
+    told, faults = agent_config.load(str(tmp_path / "agent.toml"))
     assert not faults and told.releases == str(tmp_path / "releases")
     bad = tmp_path / "bad.toml"
     bad.write_text("release = 7\nstage = []")
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from firwalk.agent import host_processes, supervisor
+from firwalk.agent import agent_config, host_processes, state_file, supervisor_state
 from firwalk.broker import contracts
 from firwalk.config import operations, rollout_file, validation
 from firwalk.dispatcher.dispatcher import Dispatcher
@@ -43,15 +43,15 @@
     "kinds": ["m"],
 }
 OUT = b'{"out":{"e1":1000.5},"back":{"e2":1001.25},"version":1}'
-KEPT = supervisor.SupervisorState(
+KEPT = supervisor_state.SupervisorState(
     "v2",
     "s1",
     "v1",
     {3: "it hangs"},
     [3],
-    supervisor.ChildProcess("v2", 1, 101, 4, 10.5, 11.25, 12.0),
+    supervisor_state.ChildProcess("v2", 1, 101, 4, 10.5, 11.25, 12.0),
     None,
-    supervisor.ChildProcess("v1", 0, 100, told_end=12.5, killed=True),
+    supervisor_state.ChildProcess("v1", 0, 100, terminated_at=12.5, is_killed=True),
 )
 AGENT = (
     b'{"kept":{"release":"v2","tag":"s1","before":"v1","failed":{"3":"it hangs"},"told":[3]'
@@ -141,7 +141,7 @@
     config.write_bytes(
         b'{"listen":"127.0.0.1:1","management":"x","settings":{"azs":["a"],"limits":{}},"tag":"s0"}'
     )
-    settings = host_processes.AgentConfig(
+    settings = agent_config.AgentConfig(
         str(config),
         str(folder / "releases"),
         "v1",
@@ -154,19 +154,19 @@
 
 def test_state_of_an_agent():
     """The state with all its fields, written and read."""
-    state = host_processes.StoredState(KEPT, {101: 12.5, 100: 3.0}, "b-1")
+    state = state_file.StoredState(KEPT, {101: 12.5, 100: 3.0}, "b-1")
     assert msgspec.json.encode(state) == AGENT
-    assert msgspec.json.decode(AGENT, type=host_processes.StoredState) == state
+    assert msgspec.json.decode(AGENT, type=state_file.StoredState) == state
 
 
 def test_state_file_is_written(tmp_path):
     """`agent.json` in the agent's folder; no process of it runs."""
     one = new_machine(tmp_path)
-    one.keep(supervisor.SupervisorState("v1", "s0"))
+    one.save(supervisor_state.SupervisorState("v1", "s0"))
     assert [path.name for path in (tmp_path / "run").iterdir()] == ["agent.json"]
     assert (tmp_path / "run" / "agent.json").read_bytes() == (
         b'{"kept":{"release":"v1","tag":"s0","before":"","failed":{},"told":[],"serving":null,"coming":null,'
-        b'"leaving":null},"created":{},"boot":"' + host_processes.boot_id().encode() + b'"}'
+        b'"leaving":null},"created":{},"boot":"' + state_file.boot_id().encode() + b'"}'
     )
 
 
@@ -175,18 +175,18 @@
     """Also as agents wrote it that did not tell the boot of the machine."""
     (tmp_path / "run").mkdir()
     (tmp_path / "run" / "agent.json").write_bytes(text)
-    assert new_machine(tmp_path).kept == KEPT
+    assert new_machine(tmp_path).state == KEPT
 
 
 def test_first_state_is_of_the_settings(tmp_path):
     """Without a file: the first release, and the tag of the configuration."""
-    assert new_machine(tmp_path).kept == supervisor.SupervisorState("v1", "s0")
+    assert new_machine(tmp_path).state == supervisor_state.SupervisorState("v1", "s0")
 
 
 def test_configuration_of_a_process(tmp_path):
     """The node's configuration, with the settings of a tag over its own, and one of the two addresses."""
     one = new_machine(tmp_path)
-    path = one._config(1, "s1")
+    path = one._write_node_config(1, "s1")
     assert path == tmp_path / "run" / "config-1.json"
     assert path.read_bytes() == (
         b'{\n  "listen": "127.0.0.1:1",\n  "management": "127.0.0.1:3101",\n  "settings": {\n  '
@@ -218,9 +218,9 @@
 
 def test_settings_of_an_agent():
     """The example file, key by key."""
-    told, faults = validation.load_toml(host_processes.AgentConfig, str(DEPLOY / "agent.toml"))
+    told, faults = validation.load_toml(agent_config.AgentConfig, str(DEPLOY / "agent.toml"))
     assert faults == []
-    assert told == host_processes.AgentConfig(
+    assert told == agent_config.AgentConfig(
         config="node.json",
         releases="releases",
         release="v1",
