--- a/firwalk/net/graceful_shutdown.py
+++ b/firwalk/net/graceful_shutdown.py
@@ -1,12 +1,13 @@
-"""The end of a process: it serves while it can, answers all it has taken, and is gone before it is killed.
+"""Graceful shutdown: the process serves while it can, answers all it took, and exits before it is killed.
 
-The times are those of `firwalk.stop_plan`. Clients' connections are ended only between requests, and the
-listener stays open as long as the process owes answers: what the machine accepts for it is its to answer.
+The times are those of `firwalk.stop_plan`. Client connections are closed only between requests, and the
+listener stays open as long as the process owes answers: what the kernel accepts for it is its to answer.
 """
 
 from __future__ import annotations
 
 import asyncio
+import math
 import socket
 from contextlib import suppress
 from time import monotonic
@@ -25,57 +26,67 @@
     from firwalk.net.clients import Clients
     from firwalk.net.hot_restart import HotRestart
 
-LOOK_S = 0.01  # between looks whether anything is still owed
-QUIET_S = 0.1  # without a new connection after which none is expected any more
+POLL_INTERVAL_S = 0.01
+QUIET_S = 0.1  # without a new connection, after which none is expected any more
 
 
 class Stoppable(Protocol):
-    """What of a process its stop has to do with."""
+    """The parts of a service that its shutdown uses."""
 
     clock: Callable[[], float]
     dispatcher: Dispatcher
     clients: Clients
     succession: HotRestart
     listener: socket.socket
-    accepting: asyncio.Task | None
+    accepting: asyncio.Task[None] | None
 
 
 class GracefulShutdown:
-    """What one process does from the signal to its end."""
+    """The shutdown of one process, from the signal to its end."""
 
-    def __init__(self, service: Stoppable, deadlines: Deadlines):
-        self.service, self.deadlines = service, deadlines
-        self.told_at: float | None = None
+    def __init__(self, service: Stoppable, deadlines: Deadlines) -> None:
+        self.service = service
+        self.deadlines = deadlines
         self.told = asyncio.Event()
+        self.told_at = math.inf  # when the signal was sent
         self.plan = StopPlan.of(deadlines.current)
         self.state = ProcessState.SERVING
 
-    # -- being told -----------------------------------------------------------------------------------------
+    # -- the signal ---------------------------------------------------------------------------------------
 
     def request(self) -> None:
-        """SIGTERM; a second one changes nothing. What counts is when it was sent: a process that stood still
-        learns of it late."""
-        if self.told_at is not None:
+        """Begins the shutdown at SIGTERM; a second call changes nothing.
+
+        It counts from when the signal was sent: a process that stood still learns of it late.
+        """
+        if self.is_requested():
             return
-        service, now = self.service, monotonic()
+        service = self.service
+        now = monotonic()
         self.told_at = service.clients.stalls.running_until(now)
         self.plan = StopPlan.of(self.deadlines.shortest(now))
         service.clients.ending = service.succession.after is None
         self.told.set()
 
+    def is_requested(self) -> bool:
+        """Whether the signal has come."""
+        return self.told_at < math.inf
+
     def deadline_changed(self, longest_s: float) -> None:
-        """A new configuration has come: one with shorter deadlines may bring the kill forward, none puts it
-        off."""
+        """Applies the longest deadline of a new configuration.
+
+        A shorter one may bring the kill forward, a longer one never postpones it.
+        """
         now = monotonic()
         self.deadlines.change(longest_s, now)
-        if self.told_at is not None:
+        if self.is_requested():
             plan = StopPlan.of(self.deadlines.shortest(now))
             if plan.kill < self.plan.kill:
                 self.plan = plan
                 self._bound_requests()
 
     def _bound_requests(self) -> None:
-        """Nothing lasts beyond the time by which all is answered."""
+        """Ends requests by the time by which all are answered."""
         service = self.service
         service.dispatcher.set_shutdown_deadline(
             service.clock() + self.told_at + self.plan.answered_by - monotonic()
@@ -84,11 +95,11 @@
     # -- the way to the end ---------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serves on, then ends what there is; returns when nothing is owed or no time is left."""
+        """Serves on, then closes connections; returns when nothing is owed or no time is left."""
         self._enter(ProcessState.STOPPING)
         self._bound_requests()
         while monotonic() < self.told_at + self.plan.gone_by and not self._finished():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         if not self.service.succession.handed:
             self.accept_last()
 
@@ -98,10 +109,14 @@
             self.service.dispatcher.events.record(Event.STATE, state)
 
     def _finished(self) -> bool:
-        """Whether nothing is owed to anybody any more. Another node may be stopping too: a client whose
-        connections all close at once would have nowhere to go. With another process of this node they are
-        there, and the two need not share its limits any longer."""
-        service, clients, now = self.service, self.service.clients, monotonic()
+        """Closes the connections that are due; whether nothing is owed to anybody any more.
+
+        Another node may be stopping too: a client whose connections all close at once would have nowhere to
+        go. A successor process has them already, and no longer needs to share the limits of the node.
+        """
+        service = self.service
+        clients = service.clients
+        now = monotonic()
         final = now >= self.told_at + self.plan.answered_by
         quiet = now >= max(self.told_at + NEW_CONNECTIONS_S, clients.accepted_at + QUIET_S)
         closing = now >= self.told_at + self.plan.closing_from or quiet and not clients.open
@@ -118,15 +133,17 @@
         return clients.stopping and (quiet or final) and self.accept_last() and not clients.open
 
     def accept_last(self) -> bool:
-        """Lets in what the machine has accepted meanwhile, and closes the listener in the same step as it
-        finds none there any more. False: no descriptor is free for one that waits."""
-        service, clients = self.service, self.service.clients
+        """Admits what the kernel has accepted meanwhile, and closes the listener once none is left.
+
+        False: no descriptor is free for a connection that waits.
+        """
+        service = self.service
+        clients = service.clients
         if service.listener.fileno() < 0:
             return True
-        service.accepting.cancel()
-        held, clients.held = clients.held, None
-        if held is not None:
-            clients.admit(held, spare=True)
+        if service.accepting is not None:
+            service.accepting.cancel()
+        self._admit_held()
         if not service.succession.shares_listener():
             refuse_new(service.listener)
         while True:
@@ -142,10 +159,20 @@
                 return False
             clients.admit(sock, spare=True)
 
+    def _admit_held(self) -> None:
+        """Admits the connection that was accepted while no descriptor was free."""
+        clients = self.service.clients
+        held = clients.held
+        clients.held = None
+        if held is not None:
+            clients.admit(held, spare=True)
+
 
 def refuse_new(listener: socket.socket) -> None:
-    """The machine accepts nothing more for it. Without this, a connection whose handshake ends between the
-    last accept and the close would be reset, with the request on it. Where the filter cannot be set, that
-    moment stays."""
+    """Drops all packets for the listener, where the system allows a filter.
+
+    A connection whose handshake ends between the last accept and the close would be reset otherwise, with the
+    request on it.
+    """
     with suppress(OSError):
         always_return(listener, SO_ATTACH_FILTER, 0)
--- a/firwalk/stop_plan.py
+++ b/firwalk/stop_plan.py
@@ -1,4 +1,4 @@
-"""When a process that was told to stop does what, as lengths from the signal. No I/O.
+"""The times of a graceful shutdown, in seconds from the signal. No I/O.
 
 SIGKILL may come as early as the longest deadline of the deployment (3 s at most) and 0.7 s after SIGTERM, and
 clients go on using their open connections until then. So a stop serves for as long as an answer can still be
@@ -16,6 +16,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 LONGEST_DEADLINE_S = 3.0  # the most that counts, whatever the deployment allows
 KILL_MARGIN_S = 0.7  # from the longest deadline to the earliest kill
@@ -42,8 +43,20 @@
         """The plan of a deployment whose requests wait so long at most."""
         kill = min(longest_deadline_s, LONGEST_DEADLINE_S) + KILL_MARGIN_S
         answered_by = kill - RESERVE_S
-        closing_from = max(answered_by - WIND_DOWN_S, 0.0)
-        return StopPlan(closing_from, answered_by - RESTING_END_S, answered_by, kill - EXIT_S, kill)
+        return StopPlan(
+            closing_from=max(answered_by - WIND_DOWN_S, 0.0),
+            resting_until=answered_by - RESTING_END_S,
+            answered_by=answered_by,
+            gone_by=kill - EXIT_S,
+            kill=kill,
+        )
+
+
+class ReplacedDeadline(NamedTuple):
+    """The longest deadline of a configuration that is in force no more."""
+
+    replaced_at: float
+    longest_s: float
 
 
 class Deadlines:
@@ -53,16 +66,16 @@
     those that were in force in the last seconds decides.
     """
 
-    def __init__(self, longest_s: float):
+    def __init__(self, longest_s: float) -> None:
         self.current = longest_s
-        self.replaced: list[tuple[float, float]] = []  # until when one was in force, and its longest deadline
+        self.replaced: list[ReplacedDeadline] = []
 
     def change(self, longest_s: float, now: float) -> None:
         """Another configuration is in force from now on."""
-        self.replaced.append((now, self.current))
+        self.replaced.append(ReplacedDeadline(now, self.current))
         self.current = longest_s
 
     def shortest(self, now: float) -> float:
         """The longest deadline by which a kill may be timed at the earliest."""
-        self.replaced = [one for one in self.replaced if one[0] > now - STABLE_S]
-        return min([self.current, *(longest for _, longest in self.replaced)])
+        self.replaced = [one for one in self.replaced if one.replaced_at > now - STABLE_S]
+        return min([self.current, *(one.longest_s for one in self.replaced)])
