--- a/firwalk/net/control_channel.py
+++ b/firwalk/net/control_channel.py
@@ -23,24 +23,13 @@
 
 import orjson
 
-from firwalk.dispatcher.request_handover import HandoverError
 from firwalk.net.errors import Pause
 from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
 from firwalk.net.opening import SHORT_OF_RESOURCES
-from firwalk.net.restart_messages import (
-    PROTOCOL_VERSION,
-    Hello,
-    MalformedMessage,
-    NodeState,
-    Refusal,
-    WireObject,
-    decode,
-)
+from firwalk.net.restart_messages import PROTOCOL_VERSION, WireObject
 from firwalk.net.waiting import readable
 from firwalk.observability.log import log_exception, log_external
 
-HELLO_TIMEOUT_S = 2.0  # without an answer by then, the predecessor hangs
-BUSY_TIMEOUT_S = 5.0  # for a predecessor that still hands over to another process
 RETRY_INTERVAL_S = 0.1
 REPLY_TIMEOUT_S = 0.5
 READ_SIZE_BYTES = 65536
@@ -386,57 +375,6 @@
     log_external(f"no process can take over from this one: {problem}")
 
 
-class PredecessorConnection(NamedTuple):
-    """What a new process gets from its predecessor."""
-
-    channel: ControlChannel | None  # None: there is none, or it does not hand over
-    state: WireObject
-    descriptors: list[socket.socket]
-    is_hung: bool  # it is there, and does not hand over
-
-
-NO_PREDECESSOR = PredecessorConnection(None, {}, [], False)
-HUNG_PREDECESSOR = PredecessorConnection(None, {}, [], True)
-
-
-async def connect_to_predecessor(rendezvous: RendezvousSocket) -> PredecessorConnection:
-    """Asks the predecessor for the node, for as long as it is busy handing over to another process."""
-    loop = asyncio.get_running_loop()
-    give_up_at = loop.time() + BUSY_TIMEOUT_S
-    while (channel := rendezvous.connect()) is not None:
-        channel.send(Hello().to_wire())
-        try:
-            async with asyncio.timeout(HELLO_TIMEOUT_S):
-                answer, descriptors = await _receive_answer(channel)
-        except TimeoutError:
-            channel.close()
-            return HUNG_PREDECESSOR
-        if isinstance(answer, NodeState):
-            return PredecessorConnection(channel, answer.state, descriptors, False)
-        channel.close()
-        if loop.time() > give_up_at or not answer.is_busy:
-            reason = "it is busy" if answer.reason is None else answer.reason
-            log_external(f"the process before does not hand over: {reason}")
-            return HUNG_PREDECESSOR
-        await asyncio.sleep(RETRY_INTERVAL_S)
-    return NO_PREDECESSOR
-
-
-async def _receive_answer(channel: ControlChannel) -> tuple[NodeState | Refusal, list[socket.socket]]:
-    """The answer to a hello; a channel that ends counts as busy, an unknown answer as a refusal."""
-    try:
-        wire, descriptors = await channel.receive()
-    except ChannelClosed:
-        return Refusal(is_busy=True), []
-    try:
-        message = decode(wire)
-    except (HandoverError, MalformedMessage):
-        message = None
-    if isinstance(message, NodeState | Refusal):
-        return message, descriptors
-    return Refusal(is_busy=False), descriptors
-
-
 def steer(listener: socket.socket) -> None:
     """Sends all new connections to the second listener of the group: the first one's process hangs."""
     try:
--- a/firwalk/net/restart_successor.py
+++ b/firwalk/net/restart_successor.py
@@ -5,24 +5,27 @@
 import asyncio
 import socket
 from time import monotonic
-from typing import TYPE_CHECKING, cast
+from typing import TYPE_CHECKING, NamedTuple, cast
 
 from firwalk.dispatcher.request_handover import HandoverError, resume_request
 from firwalk.net.control_channel import (
+    RETRY_INTERVAL_S,
     ChannelClosed,
     ControlChannel,
     RendezvousSocket,
-    connect_to_predecessor,
 )
 from firwalk.net.restart_context import RestartContext
 from firwalk.net.restart_messages import (
     TEXT_ENCODING,
     ClientHandover,
     DescriptorsHeld,
+    Hello,
     IdleConnectionHandover,
     ListenerReleased,
     MalformedMessage,
     Message,
+    NodeState,
+    Refusal,
     RequestHandover,
     TakeOver,
     WireObject,
@@ -36,6 +39,61 @@
     from firwalk.dispatcher.dispatcher import Endpoint
 
 
+HELLO_TIMEOUT_S = 2.0  # without an answer by then, the predecessor hangs
+BUSY_TIMEOUT_S = 5.0  # for a predecessor that still hands over to another process
+
+
+class PredecessorConnection(NamedTuple):
+    """What a new process gets from its predecessor."""
+
+    channel: ControlChannel | None  # None: there is none, or it does not hand over
+    state: WireObject
+    descriptors: list[socket.socket]
+    is_hung: bool  # it is there, and does not hand over
+
+
+NO_PREDECESSOR = PredecessorConnection(None, {}, [], False)
+HUNG_PREDECESSOR = PredecessorConnection(None, {}, [], True)
+
+
+async def connect_to_predecessor(rendezvous: RendezvousSocket) -> PredecessorConnection:
+    """Asks the predecessor for the node, for as long as it is busy handing over to another process."""
+    loop = asyncio.get_running_loop()
+    give_up_at = loop.time() + BUSY_TIMEOUT_S
+    while (channel := rendezvous.connect()) is not None:
+        channel.send(Hello().to_wire())
+        try:
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
+                answer, descriptors = await _receive_answer(channel)
+        except TimeoutError:
+            channel.close()
+            return HUNG_PREDECESSOR
+        if isinstance(answer, NodeState):
+            return PredecessorConnection(channel, answer.state, descriptors, False)
+        channel.close()
+        if loop.time() > give_up_at or not answer.is_busy:
+            reason = "it is busy" if answer.reason is None else answer.reason
+            log_external(f"the process before does not hand over: {reason}")
+            return HUNG_PREDECESSOR
+        await asyncio.sleep(RETRY_INTERVAL_S)
+    return NO_PREDECESSOR
+
+
+async def _receive_answer(channel: ControlChannel) -> tuple[NodeState | Refusal, list[socket.socket]]:
+    """The answer to a hello; a channel that ends counts as busy, an unknown answer as a refusal."""
+    try:
+        wire, descriptors = await channel.receive()
+    except ChannelClosed:
+        return Refusal(is_busy=True), []
+    try:
+        message = decode(wire)
+    except (HandoverError, MalformedMessage):
+        message = None
+    if isinstance(message, NodeState | Refusal):
+        return message, descriptors
+    return Refusal(is_busy=False), descriptors
+
+
 class SuccessorRole:
     """This process as the one that replaces its predecessor."""
 
