--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -15,11 +15,15 @@
 from test_service import play, silent, slowly
 
 from firwalk.dispatcher.maintenance import Maintenance
+from firwalk.dispatcher.request_handover import HandoverError
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import Clients
 from firwalk.net.control_channel import ControlChannel, RendezvousSocket
+from firwalk.net.restart_context import RestartContext
+from firwalk.net.restart_messages import MalformedMessage, decode
 from firwalk.net.restart_predecessor import PredecessorRole
+from firwalk.net.restart_successor import SuccessorRole
 
 
 class Another:
@@ -654,3 +658,48 @@
         return over[0]
 
     assert asyncio.run(run()) <= 10
+
+
+@pytest.mark.parametrize(
+    "wire",
+    [
+        {"task": None, "at": 1.0, "keep": True, "bytes": ["r1", "/put/k", "", ""]},
+        {"task": {}, "at": 1.0, "keep": True, "bytes": ["r1", "/put/k", "", ""]},
+        {"task": {}, "keep": True, "bytes": ["r1", "/put/k", "", ""]},
+        {"task": {}, "at": 1.0, "keep": True, "bytes": ["r1"]},
+        {"task": {}, "at": 1.0, "keep": True, "bytes": ["r1", "/put/k", "", "", "host"]},
+        {"task": {}, "at": 1.0, "keep": True, "bytes": [1, 2, 3, 4]},
+    ],
+)
+def test_a_malformed_request_closes_its_connections_and_what_follows_is_still_read(wire):
+    async def run():
+        ours, theirs = socket.socketpair()
+        predecessor = ControlChannel(theirs)
+        context = RestartContext(SimpleNamespace(dispatcher=None), lambda: None)
+        role = SuccessorRole(context)
+        following = asyncio.create_task(role._follow(ControlChannel(ours)))
+        client, client_end = socket.socketpair()
+        executor, executor_end = socket.socketpair()
+        predecessor.send(dict(wire), client, executor, give=True)
+        predecessor.send({"holds": 7})
+        predecessor.send({"a later version's": "message"})
+        async with asyncio.timeout(2):
+            while role.predecessor_descriptors != 7:
+                await asyncio.sleep(0.01)
+        assert client_end.recv(9) == b"" and executor_end.recv(9) == b"" and not following.done()
+        predecessor.close()
+        await asyncio.wait_for(following, 2)
+        assert role.predecessor_descriptors is None
+        client_end.close()
+        executor_end.close()
+
+    with pytest.raises(HandoverError):
+        decode(wire)
+    asyncio.run(run())
+
+
+def test_messages_of_unknown_kinds_are_none_and_malformed_ones_are_errors():
+    assert decode({"a later version's": 1}) is None
+    for wire in ({"link": "e1"}, {"holds": None}, {"out": "e1"}):
+        with pytest.raises(MalformedMessage):
+            decode(wire)
