--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -113,7 +113,7 @@
 # Some of the program's calls for its configuration fail.
 SHORT_OF_FILES = """
 import os, sys
-from firwalk import settings
+from firwalk.config import node_config as settings
 from firwalk.__main__ import main
 calls = 0
 def opened(*words):
