--- a/firwalk/config/node_config.py
+++ b/firwalk/config/node_config.py
@@ -8,7 +8,9 @@
 import orjson
 
 from firwalk.policy.interface import DeduplicationScope, Host, Idempotency
-from firwalk.policy.policy import Policy, RequestClass, Tenant
+from firwalk.policy.policy import Policy
+from firwalk.policy.policy_config import PolicyConfig, PolicyLimits
+from firwalk.policy.request import RequestClass, Tenant
 
 MICRO = 1e-6
 ZONES = 2  # of the new shape of deployment
@@ -295,19 +297,19 @@
     ]
 
 
-def _tunable(settings: dict) -> dict:
-    """The figures that a running node can take over, as `Node` calls them."""
+def _tunable(settings: dict) -> PolicyLimits:
+    """The figures that a running node can take over, as a policy takes them."""
     limits, prices = settings.get("limits", {}), settings.get("prices", {})
-    return {
-        "request_classes": _offerings(settings),
-        "tenants": [Tenant(t.get("quota-per-s", 0.0)) for t in settings.get("tenants", [])],
-        "most": limits.get("most-assignments", 1),
-        "longest_advice": limits.get("max-retry-after-us", 0) * MICRO if limits.get("retry-after") else 0.0,
-        "beyond_share": settings.get("excess-importance", 1.0),
-        "by_work": settings.get("importance-by") == "work",
-        "crossing": prices.get("cross-zone", 0.0),
-        "handshake": prices.get("handshake", 0.0),
-    }
+    return PolicyLimits(
+        request_classes=_offerings(settings),
+        tenants=[Tenant(t.get("quota-per-s", 0.0)) for t in settings.get("tenants", [])],
+        max_attempts=limits.get("most-assignments", 1),
+        max_retry_after_s=limits.get("max-retry-after-us", 0) * MICRO if limits.get("retry-after") else 0.0,
+        over_quota_weight=settings.get("excess-importance", 1.0),
+        is_value_by_work=settings.get("importance-by") == "work",
+        crossing_price=prices.get("cross-zone", 0.0),
+        connection_price=prices.get("handshake", 0.0),
+    )
 
 
 def reconfigure(node: Policy, old: dict, new: dict) -> None:
@@ -317,13 +319,13 @@
         o.get("name"): request_class
         for o, request_class in zip(old.get("offerings", []), node.request_classes, strict=True)
     }
-    for o, request_class in zip(new.get("offerings", []), figures["request_classes"], strict=True):
+    for o, request_class in zip(new.get("offerings", []), figures.request_classes, strict=True):
         learnt = before.get(o.get("name"))
         for word in LEARNT if learnt is not None else ():
             setattr(request_class, word, getattr(learnt, word))
         if learnt is not None and learnt.deadline != request_class.deadline:
             request_class.most = 0.0  # of the budgets met, which follow the expiry
-    node.reconfigure(**figures)
+    node.reconfigure(figures)
 
 
 def longest_deadline(settings: dict) -> float:
@@ -353,27 +355,24 @@
 def build_policy(host: Host, seed: int, settings: dict, now: float) -> Policy:
     """What the settings leave out gets the value that promises least."""
     limits, rules = settings.get("limits", {}), settings.get("guarantees", {})
-    return Policy(
-        host,
-        seed,
-        now,
-        own_number=settings.get("self-index", 0),
-        nodes=max(settings.get("siblings", 1), 1),
+    config = PolicyConfig(
+        node_index=settings.get("self-index", 0),
+        node_count=max(settings.get("siblings", 1), 1),
         zone=settings.get("az", 0),
-        tick=settings.get("resolution-us", 0) * MICRO,
-        copies=limits.get("second-copies", False),
+        clock_resolution_s=settings.get("resolution-us", 0) * MICRO,
+        allows_hedging=limits.get("second-copies", False),
         may_cancel=limits.get("cancel", False),
-        may_probe=limits.get("probing", False),
-        reports=settings.get("load-report", {}).get("how", "off"),
-        tells_start=bool(settings.get("specifics", {}).get("tells-start", False)),
-        must_ask=settings.get("discovery") == "ask",
-        marked=settings.get("clients", {}).get("marks-retry", True),
-        sized=settings.get("weights") in SIZED,
-        cold_from=rules.get("cold-from", 1.0),
-        cold_for=rules.get("cold-us", 0) * MICRO,
-        fall_multiple=rules.get("fall-multiple", 1.0),
-        fall_window=rules.get("tip-after-us", 0) * MICRO,
-        ask_within=rules.get("ask-within-us", 0) * MICRO,
-        peers=limits.get("peers", False),
-        **_tunable(settings),
+        may_poll_load=limits.get("probing", False),
+        load_reports=settings.get("load-report", {}).get("how", "off"),
+        reports_starts=bool(settings.get("specifics", {}).get("tells-start", False)),
+        must_watch_endpoints=settings.get("discovery") == "ask",
+        marks_retries=settings.get("clients", {}).get("marks-retry", True),
+        has_sizes=settings.get("weights") in SIZED,
+        slow_start_initial=rules.get("cold-from", 1.0),
+        slow_start_s=rules.get("cold-us", 0) * MICRO,
+        slow_start_multiple=rules.get("fall-multiple", 1.0),
+        slow_start_window_s=rules.get("tip-after-us", 0) * MICRO,
+        list_deadline_s=rules.get("ask-within-us", 0) * MICRO,
+        may_gossip=limits.get("peers", False),
     )
+    return Policy(host, seed, now, config, _tunable(settings))
--- /dev/null
+++ b/firwalk/policy/admission.py
@@ -0,0 +1,76 @@
+"""Admission by tenant quota, and the final answers to requests that are not executed."""
+
+from __future__ import annotations
+
+from firwalk.policy.enums import DeduplicationScope, Idempotency
+from firwalk.policy.executor_set import ExecutorSet
+from firwalk.policy.interface import Host
+from firwalk.policy.outlier_ejection import EJECTION_S
+from firwalk.policy.policy_config import PolicyConfig, PolicyLimits
+from firwalk.policy.request import Request
+from firwalk.policy.retries import RetryLimits
+from firwalk.policy.selection import Selection
+
+MAX_TRAFFIC_SHARE = 3.0  # times its mean share of all traffic that a node may have without reports showing it
+
+
+class Admission:
+    """Weighs arriving requests by their tenant's quota; rejects or fails what cannot be executed."""
+
+    def __init__(
+        self,
+        host: Host,
+        config: PolicyConfig,
+        limits: PolicyLimits,
+        executor_set: ExecutorSet,
+        selection: Selection,
+        retries: RetryLimits,
+    ) -> None:
+        self.host = host
+        self.config = config
+        self.limits = limits
+        self.executor_set = executor_set
+        self.selection = selection
+        self.retries = retries
+
+    def is_over_quota(self, now: float, tenant: int, own_share: float) -> bool:
+        """Count a request of a tenant; `own_share` is this node's part of all work."""
+        limits = self.limits
+        return (
+            limits.over_quota_weight < 1.0
+            and 0 <= tenant < len(limits.tenants)
+            and not limits.tenants[tenant].within(
+                now, max(own_share, MAX_TRAFFIC_SHARE / self.config.node_count)
+            )
+        )
+
+    def withdraw(self, request: Request) -> None:
+        """Close a request: nothing more is owed, and what waits for a slot need not run."""
+        may_cancel = request.is_open and self.config.may_cancel
+        cancelled = [a for a in request.attempts if a.is_in_flight] if may_cancel else []
+        request.is_open = False
+        for attempt in cancelled:
+            self.host.cancel(attempt)
+
+    def give_up(self, now: float, request: Request) -> None:
+        """Reject where a retry is certain to be harmless, else fail: the one place of final answers."""
+        if not request.is_open:
+            return
+        self.withdraw(request)
+        self.retries.moves = 0.0  # where requests are rejected there is no capacity that moves could find
+        may_have_run = any(a.may_have_run and self.host.may_have_reached(a) for a in request.attempts)
+        if may_have_run and not _is_retry_harmless(request):
+            self.host.fail(request)
+            return
+        waits = (self.selection.wait(now, e, request.slots) for e in self.executor_set.considered())
+        wait = min(waits, default=EJECTION_S)
+        advice = min(max(wait, self.config.clock_resolution_s), self.limits.max_retry_after_s)
+        self.host.reject(request, advice)
+
+
+def _is_retry_harmless(request: Request) -> bool:
+    request_class = request.request_class
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    is_keyed = request_class.idempotency is Idempotency.KEYED
+    return is_keyed and request_class.deduplication_scope is DeduplicationScope.ALL
--- a/firwalk/policy/candidates.py
+++ b/firwalk/policy/candidates.py
@@ -1,12 +1,11 @@
-"""Which executors a choice looks at. No I/O.
+"""The executors that a choice looks at.
 
-A fleet of the usual size is looked at whole. In a larger one a node has work, or connections, at some tens
-of executors, and all others look alike but for their speed: the choice looks at all of the former and at a
-window of the others, drawn anew each time, so that its cost does not grow with the fleet. That is a
-departure: where none of its own executors is better, the choice is the best of a sample of some hundred, not
+A fleet of the usual size is looked at completely. In a larger one a node has work, or connections, at some
+tens of executors, and all others differ in speed only: a choice looks at all of the former and at a window of
+the others, drawn anew each time, so that its cost does not grow with the fleet. That is a departure from the
+paper: where none of its own executors is better, the choice is the best of a sample of about a hundred, not
 of thousands. Among so many the best of a sample is near the best of all (Mitzenmacher, "The Power of Two
-Choices"); the mechanism itself, least own outstanding estimated work, is exact, since whoever has own work is
-always seen.
+Choices"). Own work, by which the mechanism decides, is always seen.
 """
 
 from __future__ import annotations
@@ -14,17 +13,15 @@
 from bisect import bisect_left, insort
 from collections.abc import Iterable
 from itertools import chain, islice
-from typing import TYPE_CHECKING
 
-from firwalk.policy.interface import EndpointState
-
-if TYPE_CHECKING:
-    from firwalk.policy.policy import Executor
+from firwalk.policy.enums import EndpointState
+from firwalk.policy.executor import Executor, Zone
 
 LARGE = 256  # executors up to which a choice looks at all
-NEAR_LOOKS, FAR_LOOKS = 96, 32  # of those without own work or connections, in the own zone and in others
-COLD_LOOKS = 64  # of those in slow start
-FEW_CHANGES = 32  # of executors that came or went: so many are taken in one by one
+NEAR_LOOKS = 96  # executors without own work or connections, in the own zone
+FAR_LOOKS = 32  # the same, in other zones
+COLD_LOOKS = 64  # executors in slow start
+MAX_SINGLE_CHANGES = 32  # executors that came or went; with more the lists are rebuilt
 
 
 class Candidates:
@@ -35,23 +32,23 @@
         self.cold: dict[Executor, None] = {}
         self.near: list[Executor] = []
         self.far: list[Executor] = []
-        self.ring: list[tuple[int, int, Executor]] = []  # all by their marks, ready or not
-        self.changed: dict[Executor, bool] = {}  # since the list was heard last; whether it was ready before
-        self.large = False
+        self.ring: list[tuple[int, int, Executor]] = []  # all, by their marks
+        self.changed: dict[Executor, bool] = {}  # since the last list; whether it was ready
+        self.is_large = False
 
-    def met(self, executor: Executor) -> None:
-        """There is one more."""
+    def add(self, executor: Executor) -> None:
+        """Add an executor that is not ready yet."""
         insort(self.ring, (executor.mark, len(self.ring), executor))
 
-    def changes(self, executor: Executor, was_ready: bool) -> None:
-        """The list says something new of it."""
+    def record_change(self, executor: Executor, was_ready: bool) -> None:
+        """Remember a change of state until the list is complete."""
         self.changed.setdefault(executor, was_ready)
 
-    def take_in(self, own_zone: object) -> bool:
-        """Changes the lists of those that are ready by the few that have come or gone; False: they have to be
-        made anew."""
-        changed, self.changed = self.changed, {}
-        if not self.large or len(changed) > FEW_CHANGES:
+    def apply_changes(self, own_zone: Zone) -> bool:
+        """Apply a few changes to the lists of ready executors; False if these must be rebuilt."""
+        changed = self.changed
+        self.changed = {}
+        if not self.is_large or len(changed) > MAX_SINGLE_CHANGES:
             return False
         for executor, was_ready in changed.items():
             ready = executor.condition is EndpointState.READY
@@ -62,56 +59,57 @@
                 among.append(executor)
         return True
 
-    def listed(self, near: list[Executor], far: list[Executor]) -> None:
-        """Those that are ready, anew."""
-        self.near, self.far = near, far
-        self.large = len(near) + len(far) > LARGE
+    def set_ready(self, near: list[Executor], far: list[Executor]) -> None:
+        """Set the lists of ready executors; they are shared, not copied."""
+        self.near = near
+        self.far = far
+        self.is_large = len(near) + len(far) > LARGE
 
-    def used(self, executor: Executor) -> None:
-        """It has own work, or connections, from now on."""
+    def mark_active(self, executor: Executor) -> None:
+        """The executor has own work, or connections, from now on."""
         self.active[executor] = None
 
-    def restarted(self, executor: Executor) -> None:
-        """It is in slow start from now on."""
+    def mark_slow_start(self, executor: Executor) -> None:
+        """The executor is in slow start from now on."""
         self.cold[executor] = None
 
     def _active(self) -> list[Executor]:
-        """Those of the ready ones that still are; others are forgotten."""
+        """Ready executors with own work or connections; drops those that have neither any more."""
         for executor in [one for one in self.active if not (one.held or one.idle)]:
             del self.active[executor]
         return [one for one in self.active if one.condition is EndpointState.READY]
 
-    def sample(self, own_zone: object, chance: float) -> list[Executor]:
-        """The own zone first, and in each zone those with own work first."""
+    def sample(self, own_zone: Zone, draw: float) -> list[Executor]:
+        """A sample: the own zone first, and in each zone those with own work first."""
         active = self._active()
         near = [one for one in active if one.zone is own_zone]
         far = [one for one in active if one.zone is not own_zone]
-        near += _window(self.near, chance, NEAR_LOOKS)
-        return near + far + _window(self.far, chance, FAR_LOOKS)
+        near += _window(self.near, draw, NEAR_LOOKS)
+        return near + far + _window(self.far, draw, FAR_LOOKS)
 
-    def in_slow_start(self, now: float, chance: float) -> list[Executor]:
-        """Some of them."""
+    def in_slow_start(self, now: float, draw: float) -> list[Executor]:
+        """Some of the executors in slow start."""
         for executor in [one for one in self.cold if one.cold_until <= now]:
             del self.cold[executor]
-        return _window(list(self.cold), chance, COLD_LOOKS)
+        return _window(list(self.cold), draw, COLD_LOOKS)
 
-    def to_probe(self, among: list[Executor], at: int, most: int) -> list[Executor]:
-        """Some of those that it uses, in turn: a probe of any other would open a connection for itself."""
-        mine = [one for one in self._active() if one.zone is among[0].zone] if among else []
-        return list(islice(mine[at % len(mine) :] + mine[: at % len(mine)], most)) if mine else []
+    def poll_targets(self, among: list[Executor], start: int, count: int) -> list[Executor]:
+        """Some executors with connections, in turn: a poll of any other would open a connection."""
+        used = [one for one in self._active() if one.zone is among[0].zone] if among else []
+        return list(islice(used[start % len(used) :] + used[: start % len(used)], count)) if used else []
 
-    def following(self, point: int, count: int) -> tuple[Executor, ...]:
-        """Whom a point on the ring of all ready executors belongs to: consistent hashing."""
+    def successors(self, point: int, count: int) -> tuple[Executor, ...]:
+        """The ready executors that follow a point on the ring: consistent hashing."""
         at = bisect_left(self.ring, (point,))
         around = chain(islice(self.ring, at, None), islice(self.ring, at))
         return tuple(islice((one for _, _, one in around if one.condition is EndpointState.READY), count))
 
 
-def _window(among: list[Executor], chance: float, count: int) -> list[Executor]:
-    """So many without own work or connections, from a drawn place on; twice as many are looked at at most."""
+def _window(among: list[Executor], draw: float, count: int) -> list[Executor]:
+    """So many without own work or connections, from a random position; looks at twice as many at most."""
     if not among:
         return []
-    at = int(chance * len(among))
+    at = int(draw * len(among))
     looked: Iterable[Executor] = among[at : at + 2 * count]
     if at + 2 * count > len(among):
         looked = [*looked, *among[: min(at, at + 2 * count - len(among))]]
--- a/firwalk/policy/interface.py
+++ b/firwalk/policy/interface.py
@@ -1,99 +1,62 @@
-"""What the decision module needs from whoever runs it, and the plain words both sides share.
+"""What the policy needs from its host.
 
-A host turns its own protocol into calls of `firwalk.policy.policy.Node` and carries out what the node
-asks of it
-through this interface. Nothing here decides anything. Times are seconds as floats, on the host's clock.
+A host turns its own protocol into calls of `firwalk.policy.policy.Policy` and carries out, through this
+interface, what the policy asks for. Nothing here decides anything. Times are seconds on the host's clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from enum import IntEnum
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
-if TYPE_CHECKING:
-    from firwalk.policy.policy import Attempt, Executor, Request
+from firwalk.policy.enums import DeduplicationScope, EndpointState, Idempotency, Outcome
+from firwalk.policy.executor import Executor
+from firwalk.policy.request import Attempt, Request
 
-
-class Idempotency(IntEnum):
-    """What running a task twice would do."""
-
-    IDEMPOTENT = 0
-    KEYED = 1
-    NON_IDEMPOTENT = 2
-
-
-class DeduplicationScope(IntEnum):
-    """Which executors drop the repeats of a fingerprinted task."""
-
-    ALL = 0
-    ZONE = 1
-    CELL = 2
-
-
-class EndpointState(IntEnum):
-    """What the list of executors says of one of them."""
-
-    REMOVED = 0
-    READY = 1
-    DRAINING = 2
-
-
-class Outcome(IntEnum):
-    """How an assignment ended. Only FULL, NO_CONNECTION and NOT_SENT prove that it never ran. UNFIT is the
-    executor's word that the task itself is bad: it ends the task and says nothing of the executor."""
-
-    COMPLETED = 0
-    ERROR = 1
-    AT_CAPACITY = 2
-    TIMED_OUT = 3
-    CONNECT_FAILED = 4
-    CONNECTION_LOST = 5
-    CANCELLED = 6
-    NOT_SENT = 7
-    INVALID = 8
+__all__ = ["DeduplicationScope", "EndpointState", "Host", "Idempotency", "Outcome"]
 
 
 class Host(Protocol):
-    """The acts a node can ask for; each takes effect at the time of the call that is being answered."""
+    """Actions that a policy asks for; each takes effect at the time of the event being handled."""
 
     def send(self, request: Request, executor: Executor, limit: float) -> None:
-        """Give the task to the executor, with a time-out in seconds (0: until its expiry)."""
+        """Send the request to the executor, with a time-out in seconds (0: until its deadline)."""
 
     def admission_weight(self, request: Request) -> float:
-        """What nodes decided in common says of a task that came just now: times its value; 0: it is turned
-        away before anything of it is sent. It may give it another home than the node's zone. 1.0, and
-        nothing done, where nothing is decided in common."""
+        """Factor of the value of a request that has just arrived, by the cluster's plan.
+
+        0 rejects it before anything is sent; 1.0 where no plan applies. May set the preferred zone.
+        """
 
     def reject(self, request: Request, wait: float) -> None:
-        """Final answer: trying again is harmless; `wait` is retry-after advice (0: none)."""
+        """Final answer: a retry is harmless; `wait` is the Retry-After advice in seconds (0: none)."""
 
     def fail(self, request: Request) -> None:
-        """Final answer that promises nothing."""
+        """Final answer: the outcome is unknown."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Call off an assignment that is out; it still gets its one outcome."""
+        """Cancel an attempt in flight; its one outcome is still reported."""
 
     def may_have_reached(self, attempt: Attempt) -> bool:
-        """Whether it may have reached its executor; True where the host cannot tell."""
+        """Whether the attempt may have reached its executor; True where the host cannot tell."""
 
     def check_health(self, executor: Executor) -> None:
-        """Ask an executor for its load report."""
+        """Request a load report from an executor."""
 
     def close_idle_connections(self, executor: Executor) -> None:
         """Close this node's idle connections to an executor."""
 
     def set_timer(self, when: float, act: Callable[[float, Any], None], about: Any) -> None:
-        """Call `act(now, about)` once, at `when` or soon after; it cannot be unset."""
+        """Call `act(now, about)` once, at `when` or soon after; it cannot be cancelled."""
 
     def gossip_failure(self, executor: Executor) -> None:
-        """Tell all other nodes that this executor erred."""
+        """Tell all other nodes that this executor returned an error."""
 
     def watch_endpoints(self, on: bool) -> None:
-        """Open or close the standing subscription to the list of executors."""
+        """Open or close the watch on the endpoint list."""
 
     def fetch_endpoints(self) -> None:
-        """Ask once for the whole list of executors."""
+        """Fetch the complete endpoint list once."""
 
     def note(self, line: str) -> None:
-        """Leave a line for the operators."""
+        """Write a line for the operators."""
--- /dev/null
+++ b/firwalk/policy/load_reports.py
@@ -0,0 +1,113 @@
+"""Load reports: which executors are polled, and what counts of those that report nothing."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from firwalk.policy.executor import Executor, Zone
+from firwalk.policy.executor_set import ExecutorSet
+from firwalk.policy.interface import Host
+from firwalk.policy.policy_config import SMALL_FLEET, PolicyConfig
+from firwalk.policy.selection import SPEED_WEIGHT
+from firwalk.policy.slow_start import SlowStart
+
+ROUND_S = 1.0
+STALE_WEIGHT = 0.3  # with which load by others fades to the zone's mean in a round without a report
+SHARE_WEIGHT = 0.3  # of a round in this node's share of all work
+NEAR_POLLS = 2  # for each request and each round
+FAR_POLLS = 1
+
+
+class ZoneLoad:
+    """Sums over the warm executors of a zone."""
+
+    __slots__ = ("others", "slots")
+
+    def __init__(self) -> None:
+        self.others = 0.0
+        self.slots = 0.0
+
+
+class LoadReports:
+    """Polls executors, and keeps this node's share of all work."""
+
+    def __init__(
+        self, host: Host, config: PolicyConfig, executor_set: ExecutorSet, slow_start: SlowStart, now: float
+    ) -> None:
+        self.host = host
+        self.config = config
+        self.executor_set = executor_set
+        self.slow_start = slow_start
+        self.own_share = 1.0 / config.node_count  # of all work
+        self.samples_seen = 0
+        host.set_timer(now + (config.node_index + 1) / config.node_count * ROUND_S, self.run_round, None)
+
+    def apply(self, now: float, executor: Executor, report: Mapping[str, float]) -> None:
+        """Take over a load report."""
+        executor.report(now, report, self.own_share)
+
+    def run_round(self, now: float, _: object) -> None:
+        """Fade stale loads to the mean of their zone, else old free slots attract hundreds of nodes; poll."""
+        executor_set = self.executor_set
+        ready = executor_set.near + executor_set.far
+        samples = sum(estimate.met for estimate in executor_set.kinds.values())
+        samples_each = min((samples - self.samples_seen) / (len(ready) or 1), 1.0)
+        self.samples_seen = samples
+        held = 0.0
+        used = 0.0
+        zone_loads = {zone: ZoneLoad() for zone in executor_set.zones.values()}
+        for executor in ready:
+            held += executor.held_mean
+            used += executor.used_mean
+            if self.config.polls_load:
+                self._refresh_speed(executor, samples_each)
+            self._refresh_load(now, executor, zone_loads[executor.zone])
+        for zone, load in zone_loads.items():
+            zone.mean = load.others / load.slots if load.slots else 0.0
+        if used > 1.0:
+            share = min(max(held / used, 0.5 / self.config.node_count), 1.0)
+            self.own_share += SHARE_WEIGHT * (share - self.own_share)
+        self.slow_start.measure_capacity(now, ready)
+        if self.config.polls_load:
+            self.poll()
+        self.host.set_timer(now + ROUND_S, self.run_round, None)
+
+    def _refresh_speed(self, executor: Executor, samples: float) -> None:
+        """Draw an unused executor to its kind's speed: one heavy request would bar it for ever."""
+        of_kind = self.executor_set.kinds[executor.kind]
+        if executor.cost_mean and not executor.held:
+            executor.learn(executor.cost_mean, executor.cost_mean / of_kind.speed, SPEED_WEIGHT * samples)
+        if not executor.met:
+            executor.speed = of_kind.speed
+            executor.slots = max(executor.slots, of_kind.slots)
+
+    def _refresh_load(self, now: float, executor: Executor, zone_load: ZoneLoad) -> None:
+        if executor.cold_until < now:  # empty slots in slow start would make full executors look free
+            zone_load.others += executor.others
+            zone_load.slots += executor.slots
+        if executor.reported_at < now - ROUND_S:
+            zone: Zone = executor.zone
+            executor.others += STALE_WEIGHT * (zone.mean * executor.slots - executor.others)
+
+    def poll(self) -> None:
+        """Poll some executors in turn; a poll is paid for by a request or a round."""
+        executor_set = self.executor_set
+        executor_set.near_at = self._poll_some(executor_set.near, executor_set.near_at, NEAR_POLLS)
+        executor_set.far_at = self._poll_some(executor_set.far, executor_set.far_at, FAR_POLLS)
+
+    def _poll_some(self, among: list[Executor], start: int, count: int) -> int:
+        """Poll from a position on; return the next. A connection serves each node less the more share it."""
+        if self.executor_set.candidates.is_large:
+            for executor in self.executor_set.candidates.poll_targets(among, start, count):
+                self.host.check_health(executor)
+            return start + count
+        node_count = self.config.node_count
+        used = sum(e.idle + e.held > 0 for e in among)
+        capacity = (SMALL_FLEET / node_count) ** 2 * len(among) - used
+        may_connect = node_count <= SMALL_FLEET or capacity >= 1.0
+        polled = [
+            offset for offset in range(len(among)) if may_connect or among[(start + offset) % len(among)].idle
+        ][:count]
+        for offset in polled:
+            self.host.check_health(among[(start + offset) % len(among)])
+        return start + polled[-1] + 1 if polled else start
--- /dev/null
+++ b/firwalk/policy/outlier_ejection.py
@@ -0,0 +1,92 @@
+"""Outlier ejection: executors that err, stay silent or cannot be reached are spared for a while."""
+
+from __future__ import annotations
+
+from firwalk.policy.enums import Outcome
+from firwalk.policy.executor import Executor
+from firwalk.policy.executor_set import ExecutorSet
+from firwalk.policy.interface import Host
+from firwalk.policy.policy_config import PolicyConfig, RandomSource
+from firwalk.policy.request import Attempt
+
+FAULT_WEIGHTS = {
+    Outcome.ERROR: 0.3,
+    Outcome.CONNECT_FAILED: 0.3,
+    Outcome.CONNECTION_LOST: 0.15,
+}  # in the smoothed share of errors
+MAX_ERROR_SHARE = 0.45  # two errors close together exceed it, one alone never does
+MAX_STRIKES = 2
+UNREACHABLE_EXECUTORS = 3  # with which a zone counts as unreachable
+EJECTION_S = 3.0  # at least; at most twice that
+MAX_EJECTED_SHARE = 0.34
+FULL_PAUSE_S = 0.3
+ANSWERED = (Outcome.COMPLETED, Outcome.ERROR, Outcome.AT_CAPACITY, Outcome.INVALID)
+
+
+class OutlierEjection:
+    """Health of the executors, by the outcomes of attempts and polls."""
+
+    def __init__(
+        self, host: Host, config: PolicyConfig, executor_set: ExecutorSet, random: RandomSource
+    ) -> None:
+        self.host = host
+        self.config = config
+        self.executor_set = executor_set
+        self.random = random
+
+    def record_outcome(self, now: float, attempt: Attempt, outcome: Outcome) -> None:
+        """Learn the health of an executor, and of its zone, from the outcome of an attempt."""
+        executor = attempt.executor
+        self._record_reachability(now, executor, outcome)
+        if outcome is Outcome.COMPLETED:
+            executor.errors -= FAULT_WEIGHTS[Outcome.ERROR] * executor.errors
+            executor.strikes = 0
+            executor.on_trial = False
+        elif outcome is Outcome.AT_CAPACITY:
+            executor.full_until = now + FULL_PAUSE_S
+        elif outcome in FAULT_WEIGHTS:
+            executor.errors += FAULT_WEIGHTS[outcome] * (1.0 - executor.errors)
+            if outcome is Outcome.ERROR and self.config.gossips_failures:
+                self.host.gossip_failure(executor)
+                executor.warned_at = now
+            is_unreachable = outcome is Outcome.CONNECT_FAILED
+            if executor.errors > MAX_ERROR_SHARE or is_unreachable or executor.on_trial:
+                self.eject(now, executor, is_unreachable)
+
+    def _record_reachability(self, now: float, executor: Executor, outcome: Outcome) -> None:
+        zone = executor.zone
+        if outcome in ANSWERED:
+            executor.idle += 1  # other outcomes close the connection
+            zone.missed.clear()
+        elif outcome is Outcome.CONNECT_FAILED and zone is not self.executor_set.own_zone:
+            if executor not in zone.missed:
+                zone.missed.append(executor)
+            if len(zone.missed) >= UNREACHABLE_EXECUTORS:
+                zone.away_until = max(self._ejection_end(now), zone.away_until)
+
+    def record_poll(self, now: float, executor: Executor, outcome: Outcome) -> None:
+        """Learn the health of an executor from a load poll that brought no answer."""
+        executor.strikes += 1
+        if executor.strikes >= MAX_STRIKES or outcome is Outcome.CONNECT_FAILED:
+            self.eject(now, executor)
+
+    def record_silence(self, now: float, executor: Executor) -> None:
+        """Learn from an attempt that shows no start, or no end, in the time it had."""
+        executor.strikes += self.config.reports_starts or not self.config.may_poll_load
+        most = MAX_STRIKES if self.config.uses_reports else 1
+        if executor.strikes >= most or executor.on_trial:
+            self.eject(now, executor)
+
+    def _ejection_end(self, now: float) -> float:
+        return now + EJECTION_S * (1.0 + self.random.draw())
+
+    def eject(self, now: float, executor: Executor, is_unreachable: bool = False) -> None:
+        """Spare an executor for a while; of reachable ones not so many that the rest are overloaded."""
+        ejected = [e.away_until > now for e in self.executor_set.near + self.executor_set.far]
+        is_over_limit = sum(ejected) + 1 > MAX_EJECTED_SHARE * len(ejected)
+        if executor.away_until > now or (is_over_limit and not is_unreachable):
+            return
+        executor.away_until = self._ejection_end(now)
+        executor.on_trial = True
+        executor.strikes = 0
+        executor.errors = 0.0
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -9,7 +9,7 @@
 from firwalk.cluster import lease, plan
 from firwalk.dispatcher import dispatcher
 from firwalk.net import clients
-from firwalk.policy import policy
+from firwalk.policy import policy, retries, selection, slow_start
 from firwalk.policy.interface import EndpointState, Outcome
 
 
@@ -58,20 +58,20 @@
 
 def repeats_what_must_not_repeat():
     """It takes a finished attempt for one that failed, and its gates let every request pass again."""
-    real = policy.Policy.ended
+    real = policy.Policy.attempt_ended
 
     def ended(self, now, assignment, how, took, complete, report):
         if how is Outcome.COMPLETED and len(assignment.request.attempts) == 1:
             how, complete = Outcome.ERROR, False
         real(self, now, assignment, how, took, complete, report)
 
-    policy.Policy.ended = ended
-    policy.Policy._safe_after = lambda self, now, task, executor, before: len(before) < 3
+    policy.Policy.attempt_ended = ended
+    retries.RetryLimits.is_safe = lambda self, now, request, executor, earlier: len(earlier) < 3
     dispatcher.LAST = (Outcome.INVALID,)
 
 
 def does_not_hear_of_drains():
-    real = policy.Policy.heard
+    real = policy.Policy.endpoint_changed
 
     def heard(self, now, executor, condition, came_up):
         real(
@@ -82,19 +82,21 @@
             came_up,
         )
 
-    policy.Policy.heard = heard
+    policy.Policy.endpoint_changed = heard
 
 
 def pushes_cold_ones_over():
     """All goes to whoever came up last, as if it were warm."""
-    policy.Policy._cold_room = lambda self, now, executor, task, own=0.0: True
-    real = policy.Policy._choose
+    slow_start.SlowStart.has_capacity = lambda self, now, executor, request, own_slots=0.0: True
+    real = selection.Selection.choose
 
-    def choose(self, now, task, among, anew=False):
-        ready = [e for e in self.near + self.far if not task.attempts and e.came_up]
-        return max(ready, key=lambda e: e.came_up, default=None) or real(self, now, task, among, anew)
+    def choose(self, now, request, among, is_replacement=False):
+        executors = self.executor_set.near + self.executor_set.far
+        ready = [e for e in executors if not request.attempts and e.came_up]
+        newest = max(ready, key=lambda e: e.came_up, default=None)
+        return newest or real(self, now, request, among, is_replacement)
 
-    policy.Policy._choose = choose
+    selection.Selection.choose = choose
 
 
 def voter_grants_at_once_after_its_start():
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,13 +9,16 @@
 import sys
 import tempfile
 import time
+from dataclasses import fields
 from pathlib import Path
 
 import orjson
 
 from firwalk.observability.monitor import OUTCOME_REASONS
 from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
-from firwalk.policy.policy import Policy, RequestClass, Tenant
+from firwalk.policy.policy import Policy
+from firwalk.policy.policy_config import PolicyConfig, PolicyLimits
+from firwalk.policy.request import RequestClass, Tenant
 
 TRACES = Path(__file__).parent / "traces"
 
@@ -27,35 +30,36 @@
         self.now, self.lines, self.timers, self.counter, self.called = at, [], [], 0, []
         self.quiet = True  # leave probes out of the trace
         known = dict(
-            own_number=0,
-            nodes=1,
+            node_index=0,
+            node_count=1,
             zone=0,
             request_classes=[request_class()],
             tenants=[Tenant(10.0)],
-            tick=0.005,
-            most=5,
-            copies=True,
+            clock_resolution_s=0.005,
+            max_attempts=5,
+            allows_hedging=True,
             may_cancel=True,
-            may_probe=True,
-            longest_advice=2.0,
-            reports="on_probe",
-            tells_start=True,
-            must_ask=False,
-            sized=False,
-            marked=True,
-            crossing=0.0,
-            handshake=0.0,
-            beyond_share=1.0,
-            by_work=True,
-            cold_from=0.2,
-            cold_for=10.0,
-            fall_multiple=3.0,
-            fall_window=2.0,
-            ask_within=10.0,
-            peers=False,
+            may_poll_load=True,
+            max_retry_after_s=2.0,
+            load_reports="on_probe",
+            reports_starts=True,
+            must_watch_endpoints=False,
+            has_sizes=False,
+            marks_retries=True,
+            crossing_price=0.0,
+            connection_price=0.0,
+            over_quota_weight=1.0,
+            is_value_by_work=True,
+            slow_start_initial=0.2,
+            slow_start_s=10.0,
+            slow_start_multiple=3.0,
+            slow_start_window_s=2.0,
+            list_deadline_s=10.0,
+            may_gossip=False,
         )
         known.update(settings)
-        self.node = Policy(self, 7, at, **known)
+        limits = PolicyLimits(**{name.name: known.pop(name.name) for name in fields(PolicyLimits)})
+        self.node = Policy(self, 7, at, PolicyConfig(**known), limits)
         self.executors = {}
 
     def say(self, text):
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -18,7 +18,7 @@
 
 
 def looked_at(play):
-    return play.node._order()
+    return play.node.executor_set.scan_order()
 
 
 @pytest.mark.parametrize("count", [LARGE + 1, 1000, 4000])
@@ -26,7 +26,7 @@
     play = fleet(count)
     for n in range(60):
         play.request(f"t{n}")
-    active = sum(one.held > 0 for one in play.node.executors)
+    active = sum(one.held > 0 for one in play.node.executor_set.executors)
     assert len(looked_at(play)) <= active + NEAR_LOOKS + FAR_LOOKS
 
 
@@ -46,7 +46,7 @@
         if chance.random() < 0.5 and request.attempts and request.attempts[0].is_in_flight:
             play.end(request, Outcome.COMPLETED)
     node = play.node
-    own = [one for one in node.executors if one.held or one.idle]
+    own = [one for one in node.executor_set.executors if one.held or one.idle]
     sample = looked_at(play)
     assert set(own) <= set(sample) and len(sample) == len(set(sample))
     probe = play.request("probe", cost=0.05)
@@ -68,9 +68,9 @@
             play.node.endpoint_changed(play.now, executor, chance.choice(conditions), 0.0)
         play.node.endpoint_list_received(play.now)
         node = play.node
-        ready = {one for one in node.executors if one.condition is EndpointState.READY}
-        assert set(node.near) == {one for one in ready if one.zone is node.zone}
-        assert set(node.far) == {one for one in ready if one.zone is not node.zone}
+        ready = {one for one in node.executor_set.executors if one.condition is EndpointState.READY}
+        assert set(node.near) == {one for one in ready if one.zone is node.executor_set.own_zone}
+        assert set(node.far) == {one for one in ready if one.zone is not node.executor_set.own_zone}
         assert len(node.near) + len(node.far) == len(ready)
 
 
@@ -88,7 +88,7 @@
 
 
 def test_some_in_slow_start_are_met_in_a_large_fleet():
-    play = fleet(600, cold_for=5.0, cold_from=0.5)
+    play = fleet(600, slow_start_s=5.0, slow_start_initial=0.5)
     names = list(play.executors)[:300]
     play.now = 10.0
     for name in names:
@@ -104,13 +104,15 @@
     play = fleet(600)
     for number, name in enumerate(play.executors):
         play.executors[name].mark = (number * 2654435761) % (1 << 32)
-    ring = sorted((one.mark, number, one) for number, one in enumerate(play.node.executors))
-    play.node.candidates.ring = ring
+    ring = sorted((one.mark, number, one) for number, one in enumerate(play.node.executor_set.executors))
+    play.node.executor_set.candidates.ring = ring
     points = [n * 4294967 for n in range(1000)]
-    before = {point: play.node.candidates.following(point, 3) for point in points}
+    before = {point: play.node.executor_set.candidates.successors(point, 3) for point in points}
     assert all(len(set(homes)) == 3 for homes in before.values())
     leaves = before[points[0]][0]
     play.node.endpoint_changed(play.now, leaves, EndpointState.REMOVED, 0.0)
-    moved = sum(play.node.candidates.following(point, 3) != homes for point, homes in before.items())
+    moved = sum(
+        play.node.executor_set.candidates.successors(point, 3) != homes for point, homes in before.items()
+    )
     assert 0 < moved < 30
-    assert all(leaves not in play.node.candidates.following(point, 3) for point in points)
+    assert all(leaves not in play.node.executor_set.candidates.successors(point, 3) for point in points)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,7 +8,7 @@
 
 from firwalk.net.discovery import CALL_TIME, CONNECT_TIME, SILENCE
 from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
-from firwalk.policy.policy import Tenant
+from firwalk.policy.request import Tenant
 
 IDEMPOTENT, FINGERPRINTED, SIDE_EFFECTING = (
     Idempotency.IDEMPOTENT,
@@ -42,12 +42,12 @@
 
 
 def test_crossing_needs_more_than_a_little_work_and_is_not_for_light_tasks():
-    f = Fake(crossing=0.1)
+    f = Fake(crossing_price=0.1)
     f.hear("near", slots=1)
     f.hear("far", zone=1, slots=1)
     for n in range(4):
         f.request(f"t{n}", 0.3)
-    f.node.mean_value = 100.0
+    f.node.selection.mean_value = 100.0
     f.request("light", 0.01)
     f.compare("crossing")
 
@@ -126,9 +126,9 @@
 def test_ties_of_many_nodes_do_not_all_go_to_the_fastest():
     first = []
     for number in range(40):
-        f = Fake(own_number=number, nodes=40)
-        f.node.seed = number
-        f.node.near_at = number * 7
+        f = Fake(node_index=number, node_count=40)
+        f.node.random.seed = number
+        f.node.executor_set.near_at = number * 7
         f.hear(*(f"e{n}" for n in range(20)))
         f.executors["e3"].speed = 2.0
         first.append(f.request("t").attempts[0].executor.ref)
@@ -147,9 +147,9 @@
 
 
 def test_an_old_report_of_free_slots_fades_to_the_mean_of_its_zone():
-    f = Fake(tells_start=False)
+    f = Fake(reports_starts=False)
     f.hear("old", "busy", slots=4)
-    f.node.executors[1].others = 12.0
+    f.node.executor_set.executors[1].others = 12.0
     f.until(5.0)
     assert f.executors["old"].others == pytest.approx(f.executors["busy"].others, rel=0.5)
 
@@ -220,11 +220,15 @@
     f.until(0.4)
     f.start(request)
     other = f.executors["B" if request.attempts[0].executor.ref == "A" else "A"]
-    assert 0.0 < f.node._wait(f.now, other, 1.0) < f.node._wait(f.now, request.attempts[0].executor, 1.0)
+    assert (
+        0.0
+        < f.node.selection.wait(f.now, other, 1.0)
+        < f.node.selection.wait(f.now, request.attempts[0].executor, 1.0)
+    )
 
 
 def test_own_work_in_reports_is_not_counted_as_others():
-    f = Fake(tells_start=False)
+    f = Fake(reports_starts=False)
     f.hear("A", slots=4)
     f.request("one"), f.request("two")
     a = f.executors["A"]
@@ -238,7 +242,7 @@
 
 
 def test_cold_samples_and_queued_samples_do_not_slow_an_executor():
-    f = Fake(tells_start=False)
+    f = Fake(reports_starts=False)
     f.hear("A", slots=1)
     a, one = f.executors["A"], f.request("one", 0.2)
     two = f.request("two", 0.2)
@@ -248,7 +252,7 @@
     f.end(two, Outcome.COMPLETED)
     assert a.speed == pytest.approx(1.0)
     a.came_up, a.cold_until = f.now, f.now + 10.0
-    f.node.capacity, f.node.offered = 0.0001, 0.0  # its draw lets it go there
+    f.node.slow_start.capacity, f.node.slow_start.offered = 0.0001, 0.0  # its draw lets it go there
     three = f.request("three", 0.05)
     f.until(0.4 + 0.05 / 0.2)
     f.end(three, Outcome.COMPLETED)
@@ -256,7 +260,7 @@
 
 
 def test_list_is_asked_for_again_after_a_break():
-    f = Fake(must_ask=True)
+    f = Fake(must_watch_endpoints=True)
     f.until(0.1)
     f.node.endpoint_list_failed(f.now)
     f.until(3.0)
@@ -288,8 +292,8 @@
     service never came to an end of their calls, and most went without a list for ever."""
 
     def started(number, at):
-        f = Fake(at=at, must_ask=True, own_number=number, nodes=40)
-        f.node.seed = number + int(at)
+        f = Fake(at=at, must_watch_endpoints=True, node_index=number, node_count=40)
+        f.node.random.seed = number + int(at)
         return f
 
     fleet, service = [started(number, 0.0) for number in range(40)], SlowService()
@@ -304,7 +308,7 @@
 
 
 def test_calls_that_go_on_failing_come_ever_later_and_within_what_the_settings_want():
-    f = Fake(must_ask=True, nodes=40)
+    f = Fake(must_watch_endpoints=True, node_count=40)
     times = []
     for _ in range(30):
         while not f.lines:
@@ -322,8 +326,8 @@
     """Seconds from each of these failures in a row to the next call, the longest of 200 draws."""
     longest, shortest = [0.0] * len(silent), [9.0] * len(silent)
     for seed in range(200):
-        f = Fake(nodes=nodes, ask_within=6.0)
-        f.node.seed = seed
+        f = Fake(node_count=nodes, list_deadline_s=6.0)
+        f.node.random.seed = seed
         for n, quiet in enumerate(silent):
             began = f.now
             f.lines.clear()
@@ -365,18 +369,18 @@
     comes back cold would be pushed over."""
     times, seeds = [], Random(1)  # a node's seed has 64 bits; small ones in a row give draws alike
     for number in range(40):
-        f = Fake(own_number=number, nodes=40, request_classes=[request_class(due=60.0, deadline=90.0)])
-        f.node.seed = seeds.getrandbits(64)
+        f = Fake(node_index=number, node_count=40, request_classes=[request_class(due=60.0, deadline=90.0)])
+        f.node.random.seed = seeds.getrandbits(64)
         f.hear("A", "B", "C")
         f.end(f.request("t"), Outcome.CONNECT_FAILED)
-        lost = next(e for e in f.node.executors if e.away_until)
+        lost = next(e for e in f.node.executor_set.executors if e.away_until)
         times.append(lost.away_until)
     assert 3.0 <= min(times) < 3.5 and 5.5 < max(times) <= 6.0
     assert max(sum(at <= t < at + 0.5 for t in times) for at in times) <= 14
 
 
 def test_few_nodes_call_for_lists_at_once():
-    fleet = [Fake(must_ask=True, own_number=n, nodes=6) for n in range(6)]
+    fleet = [Fake(must_watch_endpoints=True, node_index=n, node_count=6) for n in range(6)]
     for f in fleet:
         f.until(0.1)
     assert all(f.lines for f in fleet)
@@ -394,7 +398,7 @@
 def test_many_nodes_open_few_connections_for_probes_alone():
     """Executors hold few: with all nodes' probes opening theirs, tasks found no place, and a connection that
     was turned away set a good executor aside."""
-    f = Fake(nodes=40)
+    f = Fake(node_count=40)
     f.quiet = False
     f.hear(*(f"e{n}" for n in range(60)))
     for second in range(20):
@@ -425,17 +429,19 @@
     """A node with a task a second met each erring executor itself before it knew, at 40 nodes dozens of
     times; a side-effecting task that errs is lost."""
     f = Fake(
-        nodes=40, peers=True, request_classes=[request_class(Idempotency.NON_IDEMPOTENT), request_class()]
+        node_count=40,
+        may_gossip=True,
+        request_classes=[request_class(Idempotency.NON_IDEMPOTENT), request_class()],
     )
     f.hear("A", "B")
     f.executors["A"].idle = 1  # would be the choice of all
-    f.node.handshake = 0.1
+    f.node.limits.connection_price = 0.1
     f.node.peer_reported_failure(f.now, f.executors["A"])
     assert f.request("act").attempts[0].executor is f.executors["B"]
     assert f.request("read", kind=1).attempts[0].executor is f.executors["A"]
     f.executors["B"].away_until = 9.0
     assert f.request("last", budget=9.0).attempts[0].executor is f.executors["A"]  # none other is left
-    lone = Fake(nodes=6, peers=True)
+    lone = Fake(node_count=6, may_gossip=True)
     lone.hear("A")
     for fake, warned in ((f, True), (lone, False)):
         fake.end(fake.request("bad", kind=fake is f), Outcome.ERROR)
@@ -460,7 +466,9 @@
 
 
 def test_a_copy_leaves_the_first_assignment_running():
-    f = Fake(request_classes=[request_class(due=5.0, deadline=9.0)], tells_start=False, may_probe=False)
+    f = Fake(
+        request_classes=[request_class(due=5.0, deadline=9.0)], reports_starts=False, may_poll_load=False
+    )
     f.hear("A", "B")
     request = f.request("t", 0.3)
     for executor in f.executors.values():
@@ -490,18 +498,18 @@
 
 
 def test_sizes_from_the_list_and_wide_tasks_fill_slots_where_nothing_is_reported():
-    f = Fake(sized=True, reports="off")
+    f = Fake(has_sizes=True, load_reports="off")
     a = f.node.new_executor("A", 0, 0, 0, 4.0)
     f.node.endpoint_changed(0.0, a, EndpointState.READY, 0.0)
     f.node.endpoint_list_received(0.0)
     assert f.request("wide", 0.2, slots=2.0).attempts and (a.slots, a.held) == (4.0, 2.0)
     assert a.work == pytest.approx(0.4)
-    assert f.node._wait(0.0, a, 2.0) == 0.0 < f.node._wait(0.0, a, 4.0)
+    assert f.node.selection.wait(0.0, a, 2.0) == 0.0 < f.node.selection.wait(0.0, a, 4.0)
     assert Fake().node.new_executor("B", 0, 0, 0, 4.0).slots == 1.0  # of sizes that mean nothing
 
 
 def test_a_late_zone_sends_across_though_it_has_not_met_the_other():
-    f = Fake(crossing=0.01, reports="off")
+    f = Fake(crossing_price=0.01, load_reports="off")
     f.hear("near", "next")
     f.hear("far", zone=1)
     for n in range(2):
@@ -513,10 +521,14 @@
 
 
 def test_without_copies_a_task_that_waits_is_called_off_and_placed_on_the_outcome_within_a_budget():
-    f = Fake(copies=False, reports="off", request_classes=[request_class(), request_class(SIDE_EFFECTING)])
+    f = Fake(
+        allows_hedging=False,
+        load_reports="off",
+        request_classes=[request_class(), request_class(SIDE_EFFECTING)],
+    )
     f.hear("A", "B", "C", "D")
     requests = [f.request(f"t{n}") for n in range(5)] + [f.request("once", kind=1)]
-    f.node.moves = 2.0
+    f.node.retries.moves = 2.0
     f.until(0.4)
     assert len(f.called) == 2 and all(a.request.request_class.idempotency is IDEMPOTENT for a in f.called)
     for request in requests:
@@ -525,15 +537,15 @@
     f.end(moved, Outcome.CANCELLED)
     assert [a.is_in_flight for a in moved.attempts] == [False, True]
     f.node._give_up(f.now, requests[-1])
-    assert f.node.moves == 0.0
+    assert f.node.retries.moves == 0.0
 
 
 def test_rule_4_of_all_tasks_of_all_nodes_a_cold_executor_gets_its_part_by_present_capacity():
     sent = {0.0: 0, 0.5: 0}
     for age in sent:
         for number in range(60):  # nodes that have not met each other, each with a few tasks
-            f = Fake(own_number=number, nodes=60, reports="off", tells_start=False)
-            f.node.seed = number * 0x9E3779B97F4A7C15 % 2**64
+            f = Fake(node_index=number, node_count=60, load_reports="off", reports_starts=False)
+            f.node.random.seed = number * 0x9E3779B97F4A7C15 % 2**64
             f.until(100.0)
             f.hear(*(f"warm{n}" for n in range(9)), slots=4)
             f.hear("cold", came_up=100.0 - age * 10.0, slots=4)
@@ -548,8 +560,8 @@
     """Left to draws, one that operators had called back stayed idle for seconds at nodes of few tasks."""
     needed = []
     for number in range(30):
-        f = Fake(own_number=number % 2, nodes=2, reports="off", tells_start=False)
-        f.node.seed = number * 0x9E3779B97F4A7C15 % 2**64
+        f = Fake(node_index=number % 2, node_count=2, load_reports="off", reports_starts=False)
+        f.node.random.seed = number * 0x9E3779B97F4A7C15 % 2**64
         f.until(100.0)
         f.hear(*(f"warm{n}" for n in range(11)))
         f.hear("back", came_up=100.0, zone=number % 3 == 0)
@@ -568,8 +580,8 @@
     """All nodes' first ones at the same time would push it over."""
     sent = 0
     for number in range(60):
-        f = Fake(own_number=number, nodes=60, reports="off", tells_start=False)
-        f.node.seed = number * 0x9E3779B97F4A7C15 % 2**64
+        f = Fake(node_index=number, node_count=60, load_reports="off", reports_starts=False)
+        f.node.random.seed = number * 0x9E3779B97F4A7C15 % 2**64
         f.until(100.0)
         f.hear(*(f"warm{n}" for n in range(9)), slots=4)
         f.hear("cold", came_up=100.0, slots=4)
@@ -578,7 +590,7 @@
 
 
 def test_rule_4_no_heavy_task_and_no_queue_at_a_cold_executor():
-    f = Fake(reports="off", tells_start=False)
+    f = Fake(load_reports="off", reports_starts=False)
     f.until(100.0)
     f.hear("cold", came_up=100.0, slots=1)
     assert not f.request("heavy", 0.2).attempts and f.request("light", 0.1).attempts
@@ -589,7 +601,7 @@
     dear = request_class(SIDE_EFFECTING, due=1.0)
     cheap = request_class(due=9.0, deadline=30.0)
     dear.priority_weight, cheap.priority_weight = 10.0, 1.0
-    f = Fake(request_classes=[dear, cheap], reports="off")
+    f = Fake(request_classes=[dear, cheap], load_reports="off")
     f.hear("A", slots=1)
     answered = [f.request(f"t{n}", 1.0, kind=n % 2).attempts != [] for n in range(8)]
     assert answered[0] and not answered[7]  # its slack of ten seconds is long, and not used up
@@ -598,7 +610,7 @@
 
 def test_an_unmarked_retry_is_due_by_its_first_try():
     for marked, late in ((True, 1.2), (False, 0.2)):
-        f = Fake(marked=marked, request_classes=[request_class(due=1.0)])
+        f = Fake(marks_retries=marked, request_classes=[request_class(due=1.0)])
         f.hear("A")
         f.request("first")
         assert f.request("second", budget=4.0).objective_at == pytest.approx(late)
@@ -608,8 +620,8 @@
     """Traffic is uneven over many nodes, and reports show a part of it late: every fifth task of tenants far
     within their shares was taken for one beyond, and bounced where any wait was expected."""
     f = Fake(
-        beyond_share=0.1,
-        nodes=40,
+        over_quota_weight=0.1,
+        node_count=40,
         tenants=[Tenant(80.0)],
         request_classes=[request_class(due=50.0, deadline=90.0)],
     )
@@ -622,13 +634,13 @@
 
 
 def test_a_tenant_with_a_task_a_second_at_this_node_is_not_judged_by_chance():
-    f = Fake(beyond_share=0.1, nodes=50)
+    f = Fake(over_quota_weight=0.1, node_count=50)
     f.hear("A", "B")
     assert [f.request(f"t{n}").value < 0.1 for n in range(7)] == [False] * 5 + [True] * 2
 
 
 def test_a_cut_zone_is_found_out_once_and_tried_again():
-    f = Fake(copies=False)
+    f = Fake(allows_hedging=False)
     f.hear("near")
     f.hear("far", "away", "off", zone=1)
     zone = f.executors["off"].zone
@@ -636,8 +648,8 @@
         assert not zone.away_until  # one crashed executor, met again, does not make its zone unreachable
         request = f.request("t")
         request.attempts[0].executor = f.executors[name]
-        f.node._judge(f.now, request.attempts[0], Outcome.CONNECT_FAILED, 0.25)
-    assert f.now + 3.0 <= zone.away_until <= f.now + 6.0 and not f.node.zone.away_until
+        f.node.ejection.record_outcome(f.now, request.attempts[0], Outcome.CONNECT_FAILED)
+    assert f.now + 3.0 <= zone.away_until <= f.now + 6.0 and not f.node.executor_set.own_zone.away_until
     f.executors["near"].away_until = 9.0
     assert not f.request("during").attempts
     f.until(6.5)
@@ -647,7 +659,7 @@
 @pytest.mark.parametrize("reports, forgets", [("on_probe", True), ("off", False)])
 def test_one_task_far_heavier_than_its_hint_does_not_bar_an_executor_for_ever(reports, forgets):
     """Nothing was in time there any more, so nothing came back that could have shown its true speed."""
-    f = Fake(reports=reports, request_classes=[request_class(due=0.2, deadline=50.0)])
+    f = Fake(load_reports=reports, request_classes=[request_class(due=0.2, deadline=50.0)])
     f.hear("a")
     for _ in range(3):
         request = f.request("t", 0.1)
@@ -674,12 +686,12 @@
 
 def _keyed(number, names, sizes=None):
     f = Fake(
-        own_number=number,
-        nodes=9,
-        sized=True,
-        reports="off",
-        tells_start=False,
-        copies=False,
+        node_index=number,
+        node_count=9,
+        has_sizes=True,
+        load_reports="off",
+        reports_starts=False,
+        allows_hedging=False,
         request_classes=[request_class(due=50.0, deadline=90.0)],
     )
     for name in names:
@@ -740,8 +752,8 @@
 def test_larger_executors_have_more_keys():
     names = [f"e{n}" for n in range(12)]
     f = _keyed(0, names, {name: 4.0 for name in names[:4]})
-    f.node.repeats = 1.0
-    homes = [e.ref for n in range(600) for e in f.node._homes(b"key%d" % n)]
+    f.node.sticky_executors.repeats = 1.0
+    homes = [e.ref for n in range(600) for e in f.node.sticky_executors.executors_for(b"key%d" % n)]
     large = sum(name in names[:4] for name in homes) / len(homes)
     assert 0.5 < large < 0.75  # 16 of 24, of three draws without putting back
 
@@ -760,6 +772,6 @@
     f = Fake(request_classes=[request_class(due=30.0, deadline=90.0)])
     f.hear(*(f"e{n}" for n in range(9)), slots=4)
     request = f.request("waits", 0.1)
-    assert not f.request("hopeless", 200.0).is_open and f.node.moves == 0.0
+    assert not f.request("hopeless", 200.0).is_open and f.node.retries.moves == 0.0
     f.until(16.0)  # beyond half its slack
     assert len(request.attempts) == 1
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -46,7 +46,6 @@
 
 def test_there_is_no_circle_of_imports():
     named = graph()
-    named.pop("firwalk.policy.policy")  # its words and the host's are one vocabulary, told in two files
     assert len(named) > 30 and circles(named) == []
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -30,17 +30,17 @@
     for number in range(nodes):
         f = Fake(
             at=began,
-            own_number=number,
-            nodes=nodes,
-            reports="off",
-            tells_start=False,
-            copies=False,
-            cold_from=COLD_FROM,
-            cold_for=COLD_FOR,
-            fall_multiple=MULTIPLE,
-            fall_window=WINDOW,
+            node_index=number,
+            node_count=nodes,
+            load_reports="off",
+            reports_starts=False,
+            allows_hedging=False,
+            slow_start_initial=COLD_FROM,
+            slow_start_s=COLD_FOR,
+            slow_start_multiple=MULTIPLE,
+            slow_start_window_s=WINDOW,
         )
-        f.node.seed = (draw * 1009 + number) * 0x9E3779B97F4A7C15 % 2**64
+        f.node.random.seed = (draw * 1009 + number) * 0x9E3779B97F4A7C15 % 2**64
         f.until(100.0)
         f.hear(*(f"warm{n}" for n in range(WARM)), slots=SLOTS)
         f.hear("cold", came_up=100.0, slots=SLOTS)
