--- a/firwalk/config/node_config.py
+++ b/firwalk/config/node_config.py
@@ -1,9 +1,7 @@
-"""A node's configuration: loading it, comparing it with a reloaded one, and building the policy from it.
+"""A node's configuration: loading it, validating it, and comparing it with a reloaded one.
 
 The bench's adapter and the real node share this module. The configuration is a JSON object whose keys are
-the protocol's (`docs/configuration.md`); they are mapped to the names of the code here and in
-`firwalk.config.node_schema`, and nowhere else. Whatever the settings leave out gets the value that promises
-the least.
+the protocol's (`docs/configuration.md`); `firwalk.config.policy_settings` maps them to the names of the code.
 """
 
 from __future__ import annotations
@@ -14,9 +12,7 @@
 import orjson
 
 from firwalk.config.errors import ConfigurationError
-from firwalk.config.node_schema import EFFECTS, GROUPS, SIZE_WEIGHTS, find_faults
-from firwalk.policy.interface import DeduplicationScope, Host, Idempotency
-from firwalk.policy.policy import Policy, RequestClass, Tenant
+from firwalk.config.node_schema import find_faults
 
 MICRO = 1e-6
 ZONES = 2  # zones of a deployment of the new shape
@@ -37,27 +33,6 @@
     "prices": ("cross-zone", "handshake"),
     "specifics": ("class-kind", "class-stretch", "class-priority"),
 }
-# What a request class has learned from its requests, kept over a reload.
-LEARNED_ATTRIBUTES = (
-    "most",
-    "met",
-    "log_mean",
-    "log_spread",
-    "finished",
-    "log_hint",
-    "log_work",
-    "hint_spread",
-    "together",
-)
-# Fields of load reports: the settings' names, and those that executors use on sockets.
-LOAD_REPORT_FIELDS = {
-    "rif": "held",
-    "inflight": "held",
-    "busy": "busy",
-    "util": "busy",
-    "x0": "free_slots",
-    "x1": "free_memory",
-}
 
 JsonObject = dict[str, Any]  # a parsed configuration, or a part of one
 
@@ -146,84 +121,3 @@
 def _differing_keys(old: JsonObject, new: JsonObject, ignored: Sequence[str], where: str) -> list[str]:
     keys = sorted(old.keys() | new.keys())
     return [where + key for key in keys if key not in ignored and old.get(key) != new.get(key)]
-
-
-# -- from settings to a node -----------------------------------------------------------------------------
-
-
-def _offerings(settings: dict) -> list[RequestClass]:
-    family = settings.get("specifics", {})
-    stretch, kinds = family.get("class-stretch", []), family.get("class-kind", [])
-    return [
-        RequestClass(
-            o.get("due-time-us", o.get("expiry-us", 0)) * MICRO,
-            o.get("expiry-us", 0) * MICRO,
-            priority_weight=o.get("importance", 1.0),
-            idempotency=EFFECTS.get(o.get("repeat"), Idempotency.NON_IDEMPOTENT),
-            deduplication_scope=GROUPS.get(o.get("group"), DeduplicationScope.CELL),
-            key_ttl=o.get("key-ttl-us", 0) * MICRO,
-            objective_stretch=o.get("aim-stretch", stretch[i] if i < len(stretch) else 0.0),
-            work_kind=kinds[i] if i < len(kinds) else -1,
-        )
-        for i, o in enumerate(settings.get("offerings", []))
-    ]
-
-
-def _tunable(settings: dict) -> dict:
-    """The figures that a running node can take over, as `Node` calls them."""
-    limits, prices = settings.get("limits", {}), settings.get("prices", {})
-    return {
-        "request_classes": _offerings(settings),
-        "tenants": [Tenant(t.get("quota-per-s", 0.0)) for t in settings.get("tenants", [])],
-        "most": limits.get("most-assignments", 1),
-        "longest_advice": limits.get("max-retry-after-us", 0) * MICRO if limits.get("retry-after") else 0.0,
-        "beyond_share": settings.get("excess-importance", 1.0),
-        "by_work": settings.get("importance-by") == "work",
-        "crossing": prices.get("cross-zone", 0.0),
-        "handshake": prices.get("handshake", 0.0),
-    }
-
-
-def reconfigure(node: Policy, old: dict, new: dict) -> None:
-    """Gives a running node new settings; offerings that stay by name keep what they learnt."""
-    figures = _tunable(new)
-    before = {
-        o.get("name"): request_class
-        for o, request_class in zip(old.get("offerings", []), node.request_classes, strict=True)
-    }
-    for o, request_class in zip(new.get("offerings", []), figures["request_classes"], strict=True):
-        learnt = before.get(o.get("name"))
-        for word in LEARNED_ATTRIBUTES if learnt is not None else ():
-            setattr(request_class, word, getattr(learnt, word))
-        if learnt is not None and learnt.deadline != request_class.deadline:
-            request_class.most = 0.0  # of the budgets met, which follow the expiry
-    node.reconfigure(**figures)
-
-
-def build_policy(host: Host, seed: int, settings: dict, now: float) -> Policy:
-    """What the settings leave out gets the value that promises least."""
-    limits, rules = settings.get("limits", {}), settings.get("guarantees", {})
-    return Policy(
-        host,
-        seed,
-        now,
-        own_number=settings.get("self-index", 0),
-        nodes=max(settings.get("siblings", 1), 1),
-        zone=settings.get("az", 0),
-        tick=settings.get("resolution-us", 0) * MICRO,
-        copies=limits.get("second-copies", False),
-        may_cancel=limits.get("cancel", False),
-        may_probe=limits.get("probing", False),
-        reports=settings.get("load-report", {}).get("how", "off"),
-        tells_start=bool(settings.get("specifics", {}).get("tells-start", False)),
-        must_ask=settings.get("discovery") == "ask",
-        marked=settings.get("clients", {}).get("marks-retry", True),
-        sized=settings.get("weights") in SIZE_WEIGHTS,
-        cold_from=rules.get("cold-from", 1.0),
-        cold_for=rules.get("cold-us", 0) * MICRO,
-        fall_multiple=rules.get("fall-multiple", 1.0),
-        fall_window=rules.get("tip-after-us", 0) * MICRO,
-        ask_within=rules.get("ask-within-us", 0) * MICRO,
-        peers=limits.get("peers", False),
-        **_tunable(settings),
-    )
--- a/firwalk/dispatcher/dispatcher.py
+++ b/firwalk/dispatcher/dispatcher.py
@@ -15,7 +15,7 @@
 from typing import Any
 from zlib import crc32
 
-from firwalk.config.node_config import LOAD_REPORT_FIELDS, build_policy, reconfigure
+from firwalk.config.policy_settings import LOAD_REPORT_FIELDS, build_policy, reconfigure
 from firwalk.dispatcher import failure_gossip
 from firwalk.dispatcher.maintenance import Maintenance
 from firwalk.observability.events import EventLog, FailureReason
--- a/firwalk/wirehost/__main__.py
+++ b/firwalk/wirehost/__main__.py
@@ -12,7 +12,8 @@
 
 import orjson
 
-from firwalk.config.node_config import LOAD_REPORT_FIELDS, MICRO, build_policy
+from firwalk.config.node_config import MICRO
+from firwalk.config.policy_settings import LOAD_REPORT_FIELDS, build_policy
 from firwalk.dispatcher import failure_gossip
 from firwalk.policy.interface import EndpointState
 from firwalk.wirehost import codec as c
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from firwalk.config.node_config import EFFECTS, GROUPS, validate, validate_reload
+from firwalk.config.node_config import validate, validate_reload
+from firwalk.config.node_schema import EFFECTS, GROUPS
 from firwalk.dispatcher.dispatcher import Action, Dispatcher
 from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
 
