--- a/firwalk/cluster/health_observations.py
+++ b/firwalk/cluster/health_observations.py
@@ -1,6 +1,7 @@
-"""What one node met in each zone since it told last, for the coordinator (`firwalk.cluster.zones`).
+"""Counts what one node observes in each zone between two reports to the coordinator (see
+`firwalk.cluster.zones`).
 
-No I/O; a method for each thing that can happen. Times are seconds; work is in seconds at speed 1.
+No I/O. Times are seconds; work is in seconds at speed 1.
 """
 
 from __future__ import annotations
@@ -10,104 +11,147 @@
 from collections.abc import Callable
 
 from firwalk.cluster.messages import MOST_ZONES, HealthObservations
-from firwalk.cluster.zones import LEAST_TRIES, View
+from firwalk.cluster.zone_observation import MIN_ATTEMPTS, ZoneObservation
 
-ASKS_REPORTS = 6.0  # reports over which what the clients ask is averaged
+DEMAND_WINDOW_REPORTS = 6.0  # reports over which the clients' demand is averaged
 MILLI = 1e3
-MOST_STARTS = 65  # of a zone that are kept for the median
-CARRY = 6  # reports over which too few tries for a voice add up, before they are forgotten
+MAX_START_DELAYS = 65  # per zone and report, kept for the median
+MAX_CARRIED_REPORTS = 6  # reports over which too few attempts for a vote add up
+
+ObservationRow = tuple[int, int, int, int, int, int]  # as in `HealthObservations.views`
 
 
 class HealthObserver:
-    """`zone`: the node's own, by its number; `report`: seconds between two reports."""
-
-    def __init__(self, zone: int, zones: int, now: float, report: float = 0.5):
-        self.zone, self.zones, self.since, self.asks = zone, zones, now, 0.0
-        self.horizon = ASKS_REPORTS * report
-        self.work = self.span = 0.0  # that arrived, and the time for it: both fade over the horizon
-        self.heard_at = [-math.inf] * zones  # when somebody in the zone answered last
-        self.views = [View() for _ in range(zones)]
-        self.starts, self.carried = [[] for _ in range(zones)], [0] * zones
-        self.last = list(self.views)  # of each zone, as it was told last
-        self.spoke_against = [False] * zones  # by what was told last, whatever came since
-        self.alarm: Callable[[], None] = lambda: None  # a zone turned bad since then
+    """Counts the outcomes of attempts and health checks by zone, and the demand of the node's own clients.
+
+    `zone`: the node's own, by its number; `report_interval_s`: between two reports.
+    """
+
+    def __init__(self, zone: int, zones: int, now: float, report_interval_s: float = 0.5) -> None:
+        self.zone = zone
+        self.zones = zones
+        self.measured_at = now
+        self.demand = 0.0  # work per second
+        self.demand_window_s = DEMAND_WINDOW_REPORTS * report_interval_s
+        self.arrived_work = 0.0  # fades over the window, as `elapsed_s` does
+        self.elapsed_s = 0.0
+        self.answered_at = [-math.inf] * zones  # the last answer from anybody in the zone
+        self.observations = [ZoneObservation() for _ in range(zones)]
+        self.start_delays: list[list[float]] = [[] for _ in range(zones)]  # sorted
+        self.carried_reports = [0] * zones
+        self.last_reported = list(self.observations)
+        self.reported_unavailable = [False] * zones  # by the last report, whatever came since
+        self.on_zone_unavailable: Callable[[], None] = _ignore  # called between reports
 
     def arrived(self, work: float) -> None:
-        self.work += work
-
-    def ended(self, zone: int, missed: bool, erred: bool, now: float = 0.0, sent: float = math.inf) -> None:
-        """An attempt or a probe, sent at `sent`, ended there. One that found nobody speaks against the whole
-        zone only while nobody else in it has answered since: else it is a fault of one executor, and counts
-        as an error. (With two of three executors cut, the probes of these passed for a lost zone.)"""
-        if 0 <= zone < self.zones:
-            view = self.views[zone]
-            if not missed:
-                self._heard(zone, now)
-            elif self.heard_at[zone] > sent:
-                missed, erred = False, True
-            view.tried, view.missed, view.erred = view.tried + 1, view.missed + missed, view.erred + erred
-            if missed and view.bad() and not self.spoke_against[zone]:
-                self.alarm()
-
-    def _heard(self, zone: int, now: float) -> None:
-        """Somebody there answered: whoever did not before was alone in that."""
-        view, self.heard_at[zone] = self.views[zone], now
-        view.missed, view.erred = 0, view.erred + view.missed
-
-    def started(self, zone: int, after: float, now: float = 0.0) -> None:
-        """What is told is the median: some wait in a queue in every loaded zone, and by the mean these passed
-        for a zone that had become slow."""
+        """A client's request with this much work arrived."""
+        self.arrived_work += work
+
+    def ended(
+        self, zone: int, unreachable: bool, failed: bool, now: float = 0.0, sent_at: float = math.inf
+    ) -> None:
+        """An attempt or a health check in the zone ended.
+
+        One that reached nobody counts against the whole zone only while nobody else in the zone has answered
+        since it was sent. Otherwise one executor has the fault, and the zone has an error: two of three
+        executors behind a network cut must not pass for a lost zone.
+        """
         if not 0 <= zone < self.zones:
             return
-        self._heard(zone, now)
-        if len(self.starts[zone]) < MOST_STARTS:
-            insort(self.starts[zone], after)
-            self.views[zone].start = self.starts[zone][(len(self.starts[zone]) - 1) // 2]
-
-    def so_far(self, bears: list[float]) -> HealthObservations:
-        """What it met until now, out of turn: nothing is counted as told."""
-        rows = [self._row(number, view, bears) for number, view in enumerate(self.views[:MOST_ZONES])]
-        return HealthObservations(self.zone, int(self.asks * MILLI), rows, True)
-
-    def _row(self, number: int, view: View, bears: list[float]) -> tuple[int, ...]:
+        observation = self.observations[zone]
+        if not unreachable:
+            self._zone_answered(zone, now)
+        elif self.answered_at[zone] > sent_at:
+            unreachable = False
+            failed = True
+        observation.attempts += 1
+        observation.unreachable += unreachable
+        observation.errors += failed
+        if unreachable and observation.is_unavailable() and not self.reported_unavailable[zone]:
+            self.on_zone_unavailable()
+
+    def started(self, zone: int, delay_s: float, now: float = 0.0) -> None:
+        """An executor of the zone began an attempt `delay_s` after it was sent.
+
+        The median is reported: some attempts wait in a queue in every loaded zone, and the mean of these
+        would look like a slow zone.
+        """
+        if not 0 <= zone < self.zones:
+            return
+        self._zone_answered(zone, now)
+        delays = self.start_delays[zone]
+        if len(delays) < MAX_START_DELAYS:
+            insort(delays, delay_s)
+            self.observations[zone].start_delay_s = delays[(len(delays) - 1) // 2]
+
+    def early_report(self, capacities: list[float]) -> HealthObservations:
+        """The observations so far, between two reports; they all count in the next report again."""
+        rows = [self._row(zone, capacities) for zone in range(min(self.zones, MOST_ZONES))]
+        return HealthObservations(self.zone, int(self.demand * MILLI), rows, True)
+
+    def report(self, now: float, capacities: list[float]) -> HealthObservations:
+        """The next report; attempts in a zone add up over reports until there are enough for a vote.
+
+        `capacities`: of each zone's executors, warm, in work per second.
+        """
+        self._measure_demand(now)
+        rows = []
+        for zone in range(min(self.zones, MOST_ZONES)):
+            rows.append(self._row(zone, capacities))
+            self._close_report(zone)
+        return HealthObservations(self.zone, int(self.demand * MILLI), rows)
+
+    def _close_report(self, zone: int) -> None:
+        observation = self.observations[zone]
+        self.carried_reports[zone] += 1
+        self.last_reported[zone] = observation
+        self.reported_unavailable[zone] = observation.is_unavailable()
+        if observation.attempts >= MIN_ATTEMPTS or self.carried_reports[zone] > MAX_CARRIED_REPORTS:
+            self.observations[zone] = ZoneObservation()
+            self.start_delays[zone] = []
+            self.carried_reports[zone] = 0
+
+    def _zone_answered(self, zone: int, now: float) -> None:
+        """Somebody answered, so earlier silence there was a fault of single executors."""
+        observation = self.observations[zone]
+        self.answered_at[zone] = now
+        observation.errors += observation.unreachable
+        observation.unreachable = 0
+
+    def _row(self, zone: int, capacities: list[float]) -> ObservationRow:
+        observation = self.observations[zone]
         return (
-            number,
-            view.tried,
-            view.missed,
-            view.erred,
-            int(view.start * MILLI),
-            int(bears[number] * MILLI),
+            zone,
+            observation.attempts,
+            observation.unreachable,
+            observation.errors,
+            int(observation.start_delay_s * MILLI),
+            int(capacities[zone] * MILLI),
         )
 
-    def told(self, now: float, bears: list[float]) -> HealthObservations:
-        """What the next report says. Tries in a zone add up until there are enough for a voice. `bears`: what
-        each zone's executors bear, warm."""
-        self._measure_asks(now)
-        rows = []
-        for number, view in enumerate(self.views[:MOST_ZONES]):
-            rows.append(self._row(number, view, bears))
-            self.carried[number] += 1
-            self.last[number], self.spoke_against[number] = view, view.bad()
-            if view.tried >= LEAST_TRIES or self.carried[number] > CARRY:
-                self.views[number], self.starts[number], self.carried[number] = View(), [], 0
-        return HealthObservations(self.zone, int(self.asks * MILLI), rows)
-
-    def _measure_asks(self, now: float) -> None:
-        """Work over time, both of them fading: a report that comes late, or right behind another, weighs what
-        its time weighs. (With a fixed weight for each report, what a machine that had stood still let
-        through at once passed for the clients' lasting demand, and a drain that fits was refused.)"""
-        span, self.since = max(now - self.since, 0.0), now
-        self.span += span
-        if self.span <= 0.0:
+    def _measure_demand(self, now: float) -> None:
+        """Averages arrived work over time; both fade, so that a late or an early report weighs what its time
+        weighs. With a fixed weight per report, what a paused machine lets through at once would look like
+        lasting demand, and a drain that fits would be rejected."""
+        span_s = max(now - self.measured_at, 0.0)
+        self.measured_at = now
+        self.elapsed_s += span_s
+        if self.elapsed_s <= 0.0:
             return
-        self.asks = self.work / self.span
-        fade = math.exp(-span / self.horizon)
-        self.work, self.span = self.work * fade, self.span * fade
+        self.demand = self.arrived_work / self.elapsed_s
+        fade = math.exp(-span_s / self.demand_window_s)
+        self.arrived_work *= fade
+        self.elapsed_s *= fade
 
 
-def views(message: HealthObservations) -> tuple[float, dict[int, View]]:
-    """What it asks, and its view of each zone."""
-    return message.asks / MILLI, {
-        number: View(tried, missed, erred, start / MILLI, bears / MILLI)
-        for number, tried, missed, erred, start, bears in message.views
+def views(message: HealthObservations) -> tuple[float, dict[int, ZoneObservation]]:
+    """Decodes a report: the demand of the sender's clients, and what it observed by zone."""
+    observations = {
+        zone: ZoneObservation(attempts, unreachable, errors, start_ms / MILLI, capacity / MILLI)
+        for zone, attempts, unreachable, errors, start_ms, capacity in message.views
     }
+    return message.asks / MILLI, observations
+
+
+def _ignore() -> None:
+    """No one listens."""
--- a/firwalk/cluster/plan_enforcement.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -84,7 +84,7 @@
                 HealthObserver(zone, zones, now, seat.follower.report),
                 self._tells,
             )
-            seat.early, dispatcher.health_observer.alarm = self._tells_early, seat.tell_early
+            seat.early, dispatcher.health_observer.on_zone_unavailable = self._tells_early, seat.tell_early
 
     def stop(self) -> None:
         """Zones: as without a plan. Budgets: nothing more is there, floors neither; a node that ends goes on
@@ -97,15 +97,15 @@
             self.spending.end()
 
     def _tells(self, now: float) -> HealthObservations:
-        told = self.dispatcher.health_observer.told(now, self.dispatcher.zone_capacities(self.zones))
-        for number, view in enumerate(self.dispatcher.health_observer.last):
-            if view.tried:
-                self.reached[number] = not view.bad()
+        told = self.dispatcher.health_observer.report(now, self.dispatcher.zone_capacities(self.zones))
+        for number, view in enumerate(self.dispatcher.health_observer.last_reported):
+            if view.attempts:
+                self.reached[number] = not view.is_unavailable()
         self._shun()
         return told
 
     def _tells_early(self) -> HealthObservations:
-        return self.dispatcher.health_observer.so_far(self.dispatcher.zone_capacities(self.zones))
+        return self.dispatcher.health_observer.early_report(self.dispatcher.zone_capacities(self.zones))
 
     def follow(self, now: float) -> None:
         """The plan's part for zones; without one in force all is near, and nothing is turned away."""
--- a/firwalk/cluster/zones.py
+++ b/firwalk/cluster/zones.py
@@ -14,10 +14,10 @@
 from statistics import median_low
 from typing import Any
 
+from firwalk.cluster.zone_observation import MIN_ATTEMPTS, ZoneObservation
+
 OLD = 4.0  # looks after which what a node told counts no more
-BAD_PART = 0.5  # of a node's tries in a zone that found nobody: it says that the zone is bad
 LEAN_PART = 0.2  # that found nobody or erred, over all nodes: the zone leans
-LEAST_TRIES = 3  # of one node in a look: with fewer it has no voice
 LEAST_VOICES = 2  # nodes that must say that a zone is bad
 MANY_VOICES = 12  # nodes that speak of a zone, with which one try each will do
 LOOKS_BAD = 2  # looks in a row after which a bad zone is away
@@ -44,27 +44,12 @@
     RETURNING = 3
 
 
-@dataclass
-class View:
-    """What one node met in one zone since it told last. `bears` and `asks` in work a second."""
-
-    tried: int = 0
-    missed: int = 0  # found nobody: no connection, silence, a break
-    erred: int = 0
-    start: float = 0.0  # median seconds from sending to the start
-    bears: float = 0.0  # all executors of the zone, warm, by the node's own list
-
-    def bad(self) -> bool:
-        """Most of what was tried there found nobody."""
-        return self.missed > BAD_PART * self.tried
-
-
 @dataclass
 class Told:
     at: float
     zone: int  # the node's own
     asks: float  # work a second that its clients bring
-    views: dict[int, View]
+    views: dict[int, ZoneObservation]
 
 
 @dataclass
@@ -134,7 +119,13 @@
     # -- what comes --------------------------------------------------------------------------------------
 
     def told_by(
-        self, now: float, seat: int, zone: int, asks: float, views: dict[int, View], early: bool = False
+        self,
+        now: float,
+        seat: int,
+        zone: int,
+        asks: float,
+        views: dict[int, ZoneObservation],
+        early: bool = False,
     ) -> None:
         """One node's evidence; figures that cannot be are passed over with all that came beside them.
         `early`: out of turn, and told once more in turn."""
@@ -143,9 +134,9 @@
             and 0.0 <= asks < 1e9
             and all(
                 0 <= number < len(self.all)
-                and 0 <= view.missed + view.erred <= view.tried
-                and view.start >= 0.0
-                and 0.0 <= view.bears < 1e9
+                and 0 <= view.unreachable + view.errors <= view.attempts
+                and view.start_delay_s >= 0.0
+                and 0.0 <= view.capacity < 1e9
                 for number, view in views.items()
             )
         )
@@ -262,7 +253,8 @@
         """Whether what that node told last speaks against a zone that is in use."""
         told = self.early.get(seat) or self.told.get(seat)
         return told is not None and any(
-            view.bad() and self.all[number].mode is not Mode.AWAY for number, view in told.views.items()
+            view.is_unavailable() and self.all[number].mode is not Mode.AWAY
+            for number, view in told.views.items()
         )
 
     def glance(self, now: float, span: float, up: list[int], zone_of: dict[int, int]) -> bool:
@@ -284,23 +276,23 @@
 
     def _weigh(self, zone: Zone, fresh: dict[int, Told]) -> None:
         """What it bears is the median of what nodes say: one that lies moves it little."""
-        says = [told.views[zone.number].bears for told in fresh.values() if zone.number in told.views]
+        says = [told.views[zone.number].capacity for told in fresh.values() if zone.number in told.views]
         if says:
             zone.bears = median_low(says)
         mine = [told.asks for told in fresh.values() if told.zone == zone.number]
         zone.asks = sum(mine) if fresh else zone.asks
 
-    def _voices(self, zone: Zone, fresh: dict[int, Told], tries: int = LEAST_TRIES) -> dict[int, bool]:
+    def _voices(self, zone: Zone, fresh: dict[int, Told], tries: int = MIN_ATTEMPTS) -> dict[int, bool]:
         """By seat: whether the zone is bad for it. One voice a node, whatever it says to have tried; where
         many speak, a single try will do: with a task a second, each had its three tries too late. The same
         where nothing but what is plain counts, which many nodes have to say."""
         views = {
             seat: told.views[zone.number]
             for seat, told in fresh.items()
-            if zone.number in told.views and told.views[zone.number].tried
+            if zone.number in told.views and told.views[zone.number].attempts
         }
         least = 1 if len(views) >= MANY_VOICES else tries
-        return {seat: view.bad() for seat, view in views.items() if view.tried >= least}
+        return {seat: view.is_unavailable() for seat, view in views.items() if view.attempts >= least}
 
     def _bad(
         self,
@@ -308,7 +300,7 @@
         fresh: dict[int, Told],
         up: list[int],
         zone_of: dict[int, int],
-        tries: int = LEAST_TRIES,
+        tries: int = MIN_ATTEMPTS,
     ) -> tuple[bool, bool]:
         """Whether it is bad by this look, and whether so plainly that no further one is needed."""
         voices = self._voices(zone, fresh, tries)
@@ -325,34 +317,41 @@
         bad = len(against_zones) >= 2 or bool(elsewhere) and speaking == elsewhere and len(self.all) <= 2
         return bad, bad and len(against) >= max(PLAIN_VOICES, PLAIN_PART * len(voices))
 
-    def _pooled(self, zone: Zone) -> list[View]:
+    def _pooled(self, zone: Zone) -> list[ZoneObservation]:
         """What each node met there in the last looks, since the zone moved: a voice for each that tried
         often enough; none at all where all together tried too seldom to tell trouble from chance."""
-        sums: dict[int, View] = {}
+        sums: dict[int, ZoneObservation] = {}
         starts: dict[int, list[float]] = {}
         for new in self.recent:
             for seat, told in new.items():
                 view = told.views.get(zone.number)
-                if view is None or not view.tried or told.at <= zone.since:
+                if view is None or not view.attempts or told.at <= zone.since:
                     continue
-                seen = sums.setdefault(seat, View())
-                seen.tried, seen.missed = seen.tried + view.tried, seen.missed + view.missed
-                seen.erred = seen.erred + view.erred
-                starts.setdefault(seat, []).append(view.start)
+                seen = sums.setdefault(seat, ZoneObservation())
+                seen.attempts, seen.unreachable = (
+                    seen.attempts + view.attempts,
+                    seen.unreachable + view.unreachable,
+                )
+                seen.errors = seen.errors + view.errors
+                starts.setdefault(seat, []).append(view.start_delay_s)
         for seat, view in sums.items():  # not the mean: one look in which a machine stood still leaned a zone
-            view.start = median_low(starts[seat])
-        speak = [view for view in sums.values() if view.tried >= LEAST_TRIES]
-        enough = len(speak) >= LEAST_VOICES and sum(view.tried for view in speak) >= LEAN_TRIES
+            view.start_delay_s = median_low(starts[seat])
+        speak = [view for view in sums.values() if view.attempts >= MIN_ATTEMPTS]
+        enough = len(speak) >= LEAST_VOICES and sum(view.attempts for view in speak) >= LEAN_TRIES
         return speak if enough else []
 
-    def _missed(self, speak: list[View]) -> float:
+    def _missed(self, speak: list[ZoneObservation]) -> float:
         """The lower median: what half of the nodes see, as the nodes of one zone of two do, is not enough."""
-        return median_low((view.missed + view.erred) / view.tried for view in speak) if speak else 0.0
+        return (
+            median_low((view.unreachable + view.errors) / view.attempts for view in speak) if speak else 0.0
+        )
 
-    def _starts(self, pooled: list[list[View]]) -> dict[int, float]:
+    def _starts(self, pooled: list[list[ZoneObservation]]) -> dict[int, float]:
         """The median start of each zone, over the nodes that speak of it."""
         return {
-            number: median_low(view.start for view in speak) for number, speak in enumerate(pooled) if speak
+            number: median_low(view.start_delay_s for view in speak)
+            for number, speak in enumerate(pooled)
+            if speak
         }
 
     def _filling(self, zone: Zone, losing: list[Zone]) -> bool:
--- a/tests/cluster/test_zones.py
+++ b/tests/cluster/test_zones.py
@@ -6,9 +6,10 @@
 
 from firwalk.cluster import zones as zones_module
 from firwalk.cluster.health_observations import HealthObserver, views
-from firwalk.cluster.zones import REGION, STEPS, Mode, View, ZonePolicy, Zones, followed
+from firwalk.cluster.zone_observation import ZoneObservation
+from firwalk.cluster.zones import REGION, STEPS, Mode, ZonePolicy, Zones, followed
 
-GOOD, LOST = View(10, 0, 0, 0.01, 10.0), View(10, 10, 0, 0.0, 10.0)
+GOOD, LOST = ZoneObservation(10, 0, 0, 0.01, 10.0), ZoneObservation(10, 10, 0, 0.0, 10.0)
 
 
 class Fleet:
@@ -21,7 +22,7 @@
         self.zone_of = {seat: seat % zones for seat in range(nodes)}
 
     def view(self, what):
-        return View(what.tried, what.missed, what.erred, what.start, self.bears)
+        return ZoneObservation(what.attempts, what.unreachable, what.errors, what.start_delay_s, self.bears)
 
     def look(self, sees=lambda seat, zone: GOOD, times=1):
         for _ in range(times):
@@ -68,7 +69,9 @@
     assert few.modes() == [Mode.OPEN] * 3
     one_zone = Fleet(nodes=30)
     one_zone.look(
-        lambda seat, zone: LOST if zone == 1 and seat % 3 == 0 else GOOD if zone == seat % 3 else View(),
+        lambda seat, zone: (
+            LOST if zone == 1 and seat % 3 == 0 else GOOD if zone == seat % 3 else ZoneObservation()
+        ),
         times=3,
     )
     assert one_zone.modes() == [Mode.OPEN] * 3
@@ -107,7 +110,10 @@
     fleet = Fleet()
     fleet.look()
     fleet.now += 0.3
-    once = {zone: View(1, 1, 0, 0.0, 10.0) if zone == 1 else View(bears=10.0) for zone in range(3)}
+    once = {
+        zone: ZoneObservation(1, 1, 0, 0.0, 10.0) if zone == 1 else ZoneObservation(capacity=10.0)
+        for zone in range(3)
+    }
     for seat in range(6):
         fleet.zones.told_by(fleet.now, seat, fleet.zone_of[seat], fleet.asks, once, True)
     assert fleet.zones.alarmed(5) and not fleet.zones.alarmed(6)
@@ -136,22 +142,22 @@
 
 def test_a_node_gives_the_alarm_for_what_turned_bad_and_not_for_what_it_told():
     """Tries in a zone add up over reports: what was told of them is not what they come to by now."""
-    watch, alarms = HealthObserver(0, 2, 0.0), []
-    watch.alarm = lambda: alarms.append(watch.so_far([8.0, 4.0]).views[1][1:3])
-    watch.ended(1, False, False)
-    watch.told(0.5, [8.0, 4.0])
-    watch.ended(1, True, False)
+    observer, alarms = HealthObserver(0, 2, 0.0), []
+    observer.on_zone_unavailable = lambda: alarms.append(observer.early_report([8.0, 4.0]).views[1][1:3])
+    observer.ended(1, False, False)
+    observer.report(0.5, [8.0, 4.0])
+    observer.ended(1, True, False)
     assert not alarms  # one of two is no more than half
-    watch.ended(1, True, False)
+    observer.ended(1, True, False)
     assert alarms == [(3, 2)]
-    assert watch.told(1.0, [8.0, 4.0]).views[1][1:3] == (3, 2)
-    watch.ended(1, True, False)
+    assert observer.report(1.0, [8.0, 4.0]).views[1][1:3] == (3, 2)
+    observer.ended(1, True, False)
     assert len(alarms) == 1
 
 
 def test_who_is_slow_while_another_zone_is_being_lost_does_not_lean():
     """Nodes by themselves send it that one's load before the fleet has decided."""
-    slow = View(10, 0, 0, 1.0, 10.0)
+    slow = ZoneObservation(10, 0, 0, 1.0, 10.0)
     fleet = Fleet()
     fleet.look(times=3)
     fleet.look(lambda seat, zone: LOST if zone == 1 else slow if zone == 0 else GOOD, times=1)
@@ -167,24 +173,24 @@
     zone. What leans it has to hold over some looks, by enough tries."""
 
     def waited(seat, zone):
-        return View(3, 0, 0, 0.3, 10.0) if zone == 2 and seat in (0, 1) else View()
+        return ZoneObservation(3, 0, 0, 0.3, 10.0) if zone == 2 and seat in (0, 1) else ZoneObservation()
 
     fleet = Fleet()
-    fleet.look(lambda seat, zone: GOOD if zone < 2 else View(), times=3)
+    fleet.look(lambda seat, zone: GOOD if zone < 2 else ZoneObservation(), times=3)
     fleet.look(lambda seat, zone: GOOD if zone < 2 else waited(seat, zone))
     assert fleet.modes() == [Mode.OPEN] * 3
     fleet.look(lambda seat, zone: GOOD if zone < 2 else waited(seat, zone), times=2)
     assert fleet.modes()[2] is Mode.LEANING
     monkeypatch.setattr(zones_module, "LEAN_TRIES", 0)
     hasty = Fleet()
-    hasty.look(lambda seat, zone: GOOD if zone < 2 else View(), times=3)
+    hasty.look(lambda seat, zone: GOOD if zone < 2 else ZoneObservation(), times=3)
     hasty.look(lambda seat, zone: GOOD if zone < 2 else waited(seat, zone))
     assert hasty.modes()[2] is Mode.LEANING
 
 
 def test_one_look_in_which_a_machine_stood_still_leans_no_zone():
     """By the mean over some looks it did, and the next drain was refused for it."""
-    held_up = View(10, 0, 0, 1.0, 10.0)
+    held_up = ZoneObservation(10, 0, 0, 1.0, 10.0)
     fleet = Fleet()
     fleet.look(times=3)
     for _ in range(2):
@@ -197,40 +203,40 @@
 
 def test_what_a_pause_let_through_at_once_is_not_what_clients_ask():
     """Clients that stood still for a second send all of it within one report."""
-    watch, asks = HealthObserver(0, 1, 0.0, report=0.25), []
+    observer, asks = HealthObserver(0, 1, 0.0, report_interval_s=0.25), []
     arrivals = [0.25] * 12 + [0.0] * 4 + [1.25] + [0.25] * 8
     for number, work in enumerate(arrivals):
-        watch.arrived(work)
-        asks.append(watch.told(0.25 * (number + 1), [8.0]).asks / 1e3)
+        observer.arrived(work)
+        asks.append(observer.report(0.25 * (number + 1), [8.0]).asks / 1e3)
     assert asks[11] == pytest.approx(1.0) and max(asks) < 1.4 and asks[-1] == pytest.approx(1.0, abs=0.1)
 
 
 def test_two_reports_in_a_row_tell_the_same_demand():
-    watch = HealthObserver(0, 1, 0.0, report=0.25)
+    observer = HealthObserver(0, 1, 0.0, report_interval_s=0.25)
     for number in range(8):
-        watch.arrived(0.25)
-        watch.told(0.25 * (number + 1), [8.0])
-    watch.arrived(0.2)
-    assert watch.told(2.001, [8.0]).asks == pytest.approx(1150, abs=50)
-    assert watch.told(2.001, [8.0]).asks == pytest.approx(1150, abs=50)
+        observer.arrived(0.25)
+        observer.report(0.25 * (number + 1), [8.0])
+    observer.arrived(0.2)
+    assert observer.report(2.001, [8.0]).asks == pytest.approx(1150, abs=50)
+    assert observer.report(2.001, [8.0]).asks == pytest.approx(1150, abs=50)
 
 
 def test_a_miss_speaks_against_a_zone_only_where_nobody_else_there_answered_since():
-    watch = HealthObserver(0, 2, 0.0)
-    watch.ended(1, True, False, 0.4, 0.2)
-    assert watch.so_far([8.0, 4.0]).views[1][:4] == (1, 1, 1, 0)  # nobody was heard at all
-    watch.started(1, 0.01, 0.5)
-    assert watch.so_far([8.0, 4.0]).views[1][:4] == (1, 1, 0, 1)  # another one answers after it
-    watch.ended(1, True, False, 0.6, 0.45)  # sent before that answer
-    watch.ended(1, False, True, 0.7, 0.6)  # an error is an answer
-    watch.ended(1, True, False, 0.8, 0.65)
-    watch.ended(1, True, False, 1.0, 0.75)  # silence since it was sent
-    assert watch.told(1.0, [8.0, 4.0]).views[1][:4] == (1, 5, 1, 4)
+    observer = HealthObserver(0, 2, 0.0)
+    observer.ended(1, True, False, 0.4, 0.2)
+    assert observer.early_report([8.0, 4.0]).views[1][:4] == (1, 1, 1, 0)  # nobody was heard at all
+    observer.started(1, 0.01, 0.5)
+    assert observer.early_report([8.0, 4.0]).views[1][:4] == (1, 1, 0, 1)  # another one answers after it
+    observer.ended(1, True, False, 0.6, 0.45)  # sent before that answer
+    observer.ended(1, False, True, 0.7, 0.6)  # an error is an answer
+    observer.ended(1, True, False, 0.8, 0.65)
+    observer.ended(1, True, False, 1.0, 0.75)  # silence since it was sent
+    assert observer.report(1.0, [8.0, 4.0]).views[1][:4] == (1, 5, 1, 4)
 
 
 def test_what_leaned_a_zone_counts_no_more_after_its_move():
     """Else what was met before a step of its return took the next one back."""
-    half = View(10, 4, 0, 0.01, 10.0)
+    half = ZoneObservation(10, 4, 0, 0.01, 10.0)
     fleet = Fleet()
     fleet.look(lambda seat, zone: half if zone == 1 else GOOD, times=2)
     assert fleet.modes()[1] is Mode.LEANING
@@ -241,7 +247,7 @@
 
 def test_a_single_node_closes_nothing_whatever_it_says():
     fleet = Fleet()
-    wild = View(10**6, 10**6, 0, 0.0, 1e8)
+    wild = ZoneObservation(10**6, 10**6, 0, 0.0, 1e8)
     fleet.look(lambda seat, zone: wild if seat == 0 else GOOD, times=10)
     assert fleet.modes() == [Mode.OPEN] * 3
 
@@ -266,8 +272,8 @@
         (0, -1.0, GOOD),
         (5, 1.0, GOOD),
         (0, float("nan"), GOOD),
-        (0, 1.0, View(1, 5)),
-        (0, 1.0, View(5, 1, 0, -1.0)),
+        (0, 1.0, ZoneObservation(1, 5)),
+        (0, 1.0, ZoneObservation(5, 1, 0, -1.0)),
     ):
         zones.told_by(1.0, 0, zone, asks, {0: view})
     assert not zones.told
@@ -283,7 +289,7 @@
 
 
 def test_a_slowdown_that_all_share_moves_nothing_and_that_of_one_leans():
-    slow = View(10, 0, 0, 0.5, 10.0)
+    slow = ZoneObservation(10, 0, 0, 0.5, 10.0)
     fleet = Fleet()
     fleet.look(lambda seat, zone: slow, times=5)
     assert fleet.modes() == [Mode.OPEN] * 3
@@ -300,7 +306,7 @@
     fleet.look(lost(1), times=2)
     while fleet.zones.all[1].step < 2:
         fleet.look()
-    half = View(10, 4, 0, 0.01, 10.0)
+    half = ZoneObservation(10, 4, 0, 0.01, 10.0)
     fleet.look(lambda seat, zone: half if zone == 1 else GOOD)
     assert fleet.zones.all[1].step == 1
 
@@ -479,24 +485,24 @@
 @pytest.mark.parametrize("nodes, away", [(9, False), (15, True)])
 def test_where_many_nodes_speak_a_single_try_of_each_will_do(nodes, away):
     fleet = Fleet(nodes=nodes)
-    fleet.look(lambda seat, zone: View(1, 1, 0, 0.0, 10.0) if zone == 1 else GOOD, times=2)
+    fleet.look(lambda seat, zone: ZoneObservation(1, 1, 0, 0.0, 10.0) if zone == 1 else GOOD, times=2)
     assert (fleet.modes()[1] is Mode.AWAY) == away
 
 
 def test_the_tries_of_a_node_with_little_traffic_add_up():
-    watch = HealthObserver(0, 2, 0.0)
+    observer = HealthObserver(0, 2, 0.0)
     told = []
     for look in range(8):
-        watch.ended(1, True, False)
-        watch.arrived(0.5)
-        told.append(watch.told(0.5 * (look + 1), [8.0, 4.0]).views[1][1:3])
+        observer.ended(1, True, False)
+        observer.arrived(0.5)
+        told.append(observer.report(0.5 * (look + 1), [8.0, 4.0]).views[1][1:3])
     assert told == [(1, 1), (2, 2), (3, 3)] * 2 + [(1, 1), (2, 2)]
     for _ in range(8):
-        watch.told(10.0, [8.0, 4.0])
-    watch.ended(1, True, False)
-    assert watch.told(11.0, [8.0, 4.0]).views[1][1] == 1  # the two before are forgotten
-    asks, seen = views(watch.told(12.0, [8.0, 4.0]))
-    assert seen[0].bears == 8.0 and asks > 0.0
+        observer.report(10.0, [8.0, 4.0])
+    observer.ended(1, True, False)
+    assert observer.report(11.0, [8.0, 4.0]).views[1][1] == 1  # the two before are forgotten
+    asks, seen = views(observer.report(12.0, [8.0, 4.0]))
+    assert seen[0].capacity == 8.0 and asks > 0.0
 
 
 def test_a_region_is_drained_whole_or_not_at_all():
@@ -515,7 +521,7 @@
 
 @pytest.mark.parametrize("period", [1.0, 3.0, 10.0])
 def test_a_zone_that_is_slow_now_and_then_moves_a_bounded_number_of_times(period):
-    slow, fleet = View(10, 0, 0, 0.5, 10.0), Fleet()
+    slow, fleet = ZoneObservation(10, 0, 0, 0.5, 10.0), Fleet()
     for _ in range(240):
         now = int(fleet.now / period) % 2
         fleet.look(lambda seat, zone, now=now: slow if now and zone == 1 else GOOD)
@@ -524,7 +530,7 @@
 
 def slow(*which):
     """Starts there take long."""
-    return lambda seat, zone: View(10, 0, 0, 0.5 if zone in which else 0.01, 10.0)
+    return lambda seat, zone: ZoneObservation(10, 0, 0, 0.5 if zone in which else 0.01, 10.0)
 
 
 def test_a_slow_zone_leans_but_not_one_that_takes_the_load_of_a_lost_one():
