--- a/firwalk/cluster/plan_enforcement.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -1,158 +1,186 @@
-"""What a node does by the plan: which zone a task calls its own, which tasks are turned away at once, and
-what of budgets they cost.
+"""Applies the plan in force to a node's dispatcher: preferred and excluded zones, rejected requests, quotas.
 
-No I/O, and little is decided here that the plan does not say. Acts on a desk
-(`firwalk.dispatcher.dispatcher.Desk`), which
-is handed in. Work is in seconds at speed 1.
+No I/O. Work is in seconds at speed 1.
 """
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from collections.abc import Callable
+from typing import Protocol
 
 from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.health_observations import HealthObserver
 from firwalk.cluster.messages import HealthObservations
-from firwalk.cluster.zones import Mode, followed
+from firwalk.cluster.zone_plan import ExcludedZone, ZoneRouting, decode_excluded, decode_routing
+from firwalk.policy.policy import Policy, Request
 
-MIX = 200.0  # tasks over which the mix is remembered
-HOMES, TURNS = 1009, 7919  # make further draws of a task's one: for its home, for being turned away
-COME_BACK = 2.0  # reports after which one that was turned away may come again, on the mean
+MIX_WINDOW_REQUESTS = 200.0  # over which the priority mix is remembered
+# Factors that make independent draws of a request's one.
+ZONE_DRAW_FACTOR = 1009
+REJECTION_DRAW_FACTOR = 7919
+RETRY_AFTER_REPORTS = 2.0  # mean wait that a rejected client is told, in report intervals
 
 
 class EnforcedDispatcher(Protocol):
-    """What is asked of the desk."""
+    """The part of the dispatcher that the plan acts on."""
 
-    health_observer: Any
-    cluster_admission: Any
-    policy: Any
+    health_observer: HealthObserver | None
+    cluster_admission: Callable[[Request], float] | None
+    policy: Policy
 
-    def zone_capacities(self, count: int) -> list[float]: ...
+    def zone_capacities(self, count: int) -> list[float]:
+        """Work per second of each zone's executors, warm."""
 
-    def exclude_zones(self, zones: list[int]) -> None: ...
+    def exclude_zones(self, zones: list[int]) -> None:
+        """Sends nothing to these zones, until the next call."""
+
+
+class QuotaEnforcer(Protocol):
+    """The quota part (`firwalk.cluster.quota_accounting.QuotaAccounting`)."""
+
+    def follow(self, now: float) -> None:
+        """Applies the plan in force."""
+
+    def end(self) -> None:
+        """Gives up all quotas."""
+
+    def admission_weight(self, request: Request, request_class: str, tenant: str) -> float:
+        """A factor of the request's priority weight; 0: rejected."""
 
 
 class PriorityMix:
-    """Which part of the work that comes has which importance; old work fades."""
+    """The parts of arriving work by priority weight; old work fades."""
 
     def __init__(self) -> None:
         self.work: dict[float, float] = {}
-        self.whole = 0.0
-
-    def add(self, importance: float, work: float) -> None:
-        keep = 1.0 - 1.0 / MIX
-        for level in self.work:
-            self.work[level] *= keep
-        self.work[importance] = self.work.get(importance, 0.0) + work
-        self.whole = self.whole * keep + work
-
-    def turned_away(self, part: float, importance: float) -> float:
-        """Of the tasks of that importance, which part goes if such a part of all work goes, the least
-        important first."""
-        below = sum(work for level, work in self.work.items() if level < importance)
-        mine = self.work.get(importance, 0.0)
-        if not mine:
-            return 1.0 if part >= 1.0 else 0.0
-        return min(max((part * self.whole - below) / mine, 0.0), 1.0)
+        self.total = 0.0
+
+    def add(self, priority_weight: float, work: float) -> None:
+        """Counts an arriving request."""
+        fade = 1.0 - 1.0 / MIX_WINDOW_REQUESTS
+        for weight in self.work:
+            self.work[weight] *= fade
+        self.work[priority_weight] = self.work.get(priority_weight, 0.0) + work
+        self.total = self.total * fade + work
+
+    def rejected_ratio(self, overall_ratio: float, priority_weight: float) -> float:
+        """The part of the requests of this weight to reject, so that `overall_ratio` of all work is rejected
+        and the least important goes first."""
+        less_important = sum(work for weight, work in self.work.items() if weight < priority_weight)
+        own = self.work.get(priority_weight, 0.0)
+        if not own:
+            return 1.0 if overall_ratio >= 1.0 else 0.0
+        return min(max((overall_ratio * self.total - less_important) / own, 0.0), 1.0)
 
 
 class PlanEnforcer:
-    """One life of a seat and its node's decisions. `zone`: the node's own, of so many `zones`, 0: that part
-    is off; `spending`: the part for budgets, if it is on (`firwalk.cluster.quota_accounting`)."""
+    """Connects one incarnation of a cluster member with its node's dispatcher.
+
+    `zone`: the node's own, of so many `zones`; without any, the plan's section on zones is ignored.
+    `quotas`: the quota part, if there is one.
+    """
 
     def __init__(
         self,
-        seat: ClusterMember,
+        member: ClusterMember,
         dispatcher: EnforcedDispatcher,
         zone: int,
         zones: int,
         now: float,
-        spending: Any = None,
-    ):
-        self.seat, self.dispatcher, self.zone, self.zones, self.spending = (
-            seat,
-            dispatcher,
-            zone,
-            zones,
-            spending,
-        )
-        self.parts, self.away, self.out, self.mix = [(1.0, zone)], 0.0, [], PriorityMix()
-        self.reached = [True] * zones  # by what this node met itself
-        dispatcher.cluster_admission, seat.follower.changed = self.admission_weight, self.follow
+        quotas: QuotaEnforcer | None = None,
+    ) -> None:
+        self.member = member
+        self.dispatcher = dispatcher
+        self.zone = zone
+        self.zones = zones
+        self.quotas = quotas
+        self.routing = ZoneRouting([(1.0, zone)], 0.0)
+        self.excluded: list[ExcludedZone] = []
+        self.mix = PriorityMix()
+        self.is_reachable = [True] * zones  # by this node's own observations
+        dispatcher.cluster_admission = self.admission_weight
+        member.follower.changed = self.follow
         if zones:
-            dispatcher.health_observer, seat.evidence = (
-                HealthObserver(zone, zones, now, seat.follower.report),
-                self._tells,
-            )
-            seat.early, dispatcher.health_observer.on_zone_unavailable = self._tells_early, seat.tell_early
+            self._observe_health(now)
+
+    def _observe_health(self, now: float) -> None:
+        observer = HealthObserver(self.zone, self.zones, now, self.member.follower.report)
+        observer.on_zone_unavailable = self.member.tell_early
+        self.dispatcher.health_observer = observer
+        self.member.evidence = self._report
+        self.member.early = self._early_report
 
     def stop(self) -> None:
-        """Zones: as without a plan. Budgets: nothing more is there, floors neither; a node that ends goes on
-        taking tasks for a while, and served a team's flood without any bound then."""
-        self.zones, self.dispatcher.health_observer = 0, None
+        """Zones: as without a plan. Quotas: none is left, guaranteed parts neither, since a node that shuts
+        down still takes requests for a while, and must not serve a tenant's flood without a limit."""
+        self.zones = 0
+        self.dispatcher.health_observer = None
         self.dispatcher.exclude_zones([])
-        if self.spending is None:
+        if self.quotas is None:
             self.dispatcher.cluster_admission = None
         else:
-            self.spending.end()
-
-    def _tells(self, now: float) -> HealthObservations:
-        told = self.dispatcher.health_observer.report(now, self.dispatcher.zone_capacities(self.zones))
-        for number, view in enumerate(self.dispatcher.health_observer.last_reported):
-            if view.attempts:
-                self.reached[number] = not view.is_unavailable()
-        self._shun()
-        return told
-
-    def _tells_early(self) -> HealthObservations:
-        return self.dispatcher.health_observer.early_report(self.dispatcher.zone_capacities(self.zones))
+            self.quotas.end()
 
     def follow(self, now: float) -> None:
-        """The plan's part for zones; without one in force all is near, and nothing is turned away."""
-        if self.spending is not None:
-            self.spending.follow(now)
+        """Applies the plan; without one in force all traffic stays local and nothing is rejected."""
+        if self.quotas is not None:
+            self.quotas.follow(now)
         if not self.zones:
             return
-        section = (self.seat.follower.now_in_force(now) or {}).get("zones")
-        self.parts, self.away = followed(section, self.zone, self.zones)
-        try:
-            self.out = (
-                []
-                if section["panic"]
-                else [
-                    (number, bool(drained))
-                    for number, (mode, _, drained, _) in enumerate(section["modes"])
-                    if number < self.zones and (drained or mode == Mode.AWAY)
-                ]
-            )
-        except (KeyError, TypeError, ValueError):
-            self.out = []
-        self._shun()
-
-    def _shun(self) -> None:
-        """Zones that get nothing at all: each node that finds out for itself loses tasks there. One that is
-        away and that this node reaches all the same (it is on its side of a cut, or it is just back) stays
-        in its choice; nobody's own view overrides an operator's word."""
-        self.dispatcher.exclude_zones(
-            [number for number, drained in self.out if drained or not self.reached[number]]
-        )
-
-    def admission_weight(self, request: Any) -> float:
-        """Times its value; 0: it is turned away, and told when to come again."""
-        if self.zones and not self._placed(request):
+        section = (self.member.follower.now_in_force(now) or {}).get("zones")
+        self.routing = decode_routing(section, self.zone, self.zones)
+        self.excluded = decode_excluded(section, self.zones)
+        self._exclude_zones()
+
+    def admission_weight(self, request: Request) -> float:
+        """A factor of the request's priority weight; 0: it is rejected, with a Retry-After."""
+        if self.zones and not self._admit_to_zone(request):
             return 0.0
-        return 1.0 if self.spending is None else self.spending.admission_weight(request, *request.ref.labels)
-
-    def _placed(self, request: Any) -> bool:
-        """Its home is the zone that it calls its own; False: the fleet has no room for it."""
-        importance, draw = request.request_class.priority_weight, request.draw * HOMES % 1.0
-        self.mix.add(importance, request.work)
-        home = next((zone for upto, zone in self.parts if draw < upto), self.zone)
-        draw = request.draw * TURNS % 1.0
-        if not self.away or draw >= self.mix.turned_away(self.away, importance):
-            request.preferred_zone = self.dispatcher.policy.zones.get(home)
+        if self.quotas is None:
+            return 1.0
+        return self.quotas.admission_weight(request, *request.ref.labels)  # type: ignore[attr-defined]
+
+    def _admit_to_zone(self, request: Request) -> bool:
+        """Sets the request's preferred zone; False: the cluster has no capacity for it."""
+        priority_weight = request.request_class.priority_weight
+        zone_draw = request.draw * ZONE_DRAW_FACTOR % 1.0
+        self.mix.add(priority_weight, request.work)
+        preferred = next((zone for bound, zone in self.routing.ranges if zone_draw < bound), self.zone)
+        draw = request.draw * REJECTION_DRAW_FACTOR % 1.0
+        rejected = self.routing.rejected
+        if not rejected or draw >= self.mix.rejected_ratio(rejected, priority_weight):
+            request.preferred_zone = self.dispatcher.policy.zones.get(preferred)
             return True
-        if self.reached[self.zone] and not any(zone == self.zone and drained for zone, drained in self.out):
-            return True  # what fits nowhere stays near, where the zone can be reached
-        request.ref.retry_after = COME_BACK * self.seat.follower.report * (0.5 + draw)
+        if self.is_reachable[self.zone] and not self._is_own_zone_drained():
+            return True  # What fits nowhere stays local where the zone can be reached.
+        interval_s = self.member.follower.report
+        request.ref.retry_after = RETRY_AFTER_REPORTS * interval_s * (0.5 + draw)  # type: ignore[attr-defined]
         return False
+
+    def _is_own_zone_drained(self) -> bool:
+        return any(zone == self.zone and is_drained for zone, is_drained in self.excluded)
+
+    def _report(self, now: float) -> HealthObservations:
+        observer = self.dispatcher.health_observer
+        assert observer is not None
+        report = observer.report(now, self.dispatcher.zone_capacities(self.zones))
+        for zone, observation in enumerate(observer.last_reported):
+            if observation.attempts:
+                self.is_reachable[zone] = not observation.is_unavailable()
+        self._exclude_zones()
+        return report
+
+    def _early_report(self) -> HealthObservations:
+        observer = self.dispatcher.health_observer
+        assert observer is not None
+        return observer.early_report(self.dispatcher.zone_capacities(self.zones))
+
+    def _exclude_zones(self) -> None:
+        """Excludes zones for the whole cluster, so that not each node loses requests to find out.
+
+        An unavailable zone that this node still reaches (both are behind the same network cut, or the zone
+        has just recovered) stays in use; an operator's drain applies whatever the node observes.
+        """
+        self.dispatcher.exclude_zones(
+            [zone for zone, is_drained in self.excluded if is_drained or not self.is_reachable[zone]]
+        )
--- a/firwalk/cluster/rollout_controller.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -176,7 +176,7 @@
                 (
                     f"zone {zone.number} is not open"
                     for zone in zones.all
-                    if zone.mode or zone.drained or zone.filed
+                    if zone.state or zone.is_drained or zone.is_drained_by_file
                 ),
                 "",
             )
--- a/firwalk/cluster/zone_observation.py
+++ b/firwalk/cluster/zone_observation.py
@@ -12,8 +12,8 @@
 class ZoneObservation:
     """Counts of attempts and health checks in a zone.
 
-    `unreachable`: ended without a connection, in silence or with a lost connection. `capacity`: work per second
-    of all executors there, warm, by the node's endpoint list.
+    `unreachable`: ended without a connection, in silence or with a lost connection. `capacity`: work per
+    second of all executors there, warm, by the node's endpoint list.
     """
 
     attempts: int = 0
--- /dev/null
+++ b/firwalk/cluster/zone_shares.py
@@ -0,0 +1,172 @@
+"""Divides each zone's traffic over the zones by their capacity and headroom.
+
+No zone is given more than its headroom by the plan's own figures (I4). Work is in seconds of work (at speed
+1) per second. The design and its alternatives: `docs/zones.md`.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from firwalk.cluster.zone_state import Zone
+
+MIN_SERVABLE_RATIO = 0.5  # of all demand: below it a failover would overload what is left
+EPSILON = 1e-9  # work per second; less is none
+
+ZoneShares = dict[int, dict[int, float]]  # by zone: the parts of its traffic by the zones that serve them
+
+
+@dataclass(frozen=True)
+class ZonePolicy:
+    """The operators' configuration.
+
+    `regions`: each zone's region; `head_room`: the part of a zone's capacity that may be used when it takes
+    traffic of others; `stays`: zones whose traffic must not leave their region; `order`: for a region, those
+    to prefer; `drained`: zones that are to be drained.
+    """
+
+    regions: tuple[int, ...]
+    head_room: float = 0.8
+    stays: tuple[int, ...] = ()
+    order: dict[int, tuple[int, ...]] = field(default_factory=dict)
+    drained: tuple[int, ...] = ()
+
+
+@dataclass
+class Division:
+    """`shares[a][b]`: the part of zone a's requests that prefers zone b; `rejected[a]`: the part that fits
+    nowhere. They add up to 1 for each zone. `all_local`: too little capacity is left for any failover."""
+
+    shares: ZoneShares
+    rejected: dict[int, float]
+    all_local: bool = False
+
+    def given(self, demands: dict[int, float]) -> dict[int, float]:
+        """Work per second that each zone gets of others."""
+        received = dict.fromkeys(self.shares, 0.0)
+        for source, shares in self.shares.items():
+            for target, share in shares.items():
+                if target != source:
+                    received[target] += demands[source] * share
+        return received
+
+
+class ShareCalculator:
+    """One division, by the zones' figures and states of now."""
+
+    def __init__(self, zones: list[Zone], policy: ZonePolicy) -> None:
+        self.zones = zones
+        self.policy = policy
+        self.kept = {zone.number: zone.traffic_ratio() for zone in zones}
+        # Demand so small that parts of it are lost to rounding counts as none.
+        self.has_demand = {zone.number: zone.demand > EPSILON for zone in zones}
+
+    def divide(self) -> Division:
+        """The division; the zones are not changed."""
+        if self._must_stay_local():
+            return Division(
+                {zone.number: {zone.number: 1.0} for zone in self.zones},
+                {zone.number: 0.0 for zone in self.zones},
+                True,
+            )
+        headroom = {zone.number: self._headroom(zone) for zone in self.zones}
+        shares: ZoneShares = {zone.number: {zone.number: self._own_share(zone)} for zone in self.zones}
+        leaving = {zone.number: zone.demand * (1.0 - self.kept[zone.number]) for zone in self.zones}
+        for tier in range(1 + len({zone.region for zone in self.zones})):
+            self.place(tier, leaving, headroom, shares)
+        rejected: dict[int, float] = {}
+        for zone in self.zones:
+            rejected[zone.number] = self._settle_rest(zone, leaving[zone.number], headroom, shares)
+        return Division(shares, rejected)
+
+    def _must_stay_local(self) -> bool:
+        demand = sum(zone.demand for zone in self.zones)
+        usable = sum(zone.capacity * self.kept[zone.number] for zone in self.zones)
+        if demand and usable < MIN_SERVABLE_RATIO * demand:
+            return True
+        return all(not kept for kept in self.kept.values())
+
+    def _headroom(self, zone: Zone) -> float:
+        """What the zone may take of others: nothing while it may not serve all of its own."""
+        if self.kept[zone.number] != 1.0:
+            return 0.0
+        return max(zone.capacity * self.policy.head_room - zone.demand, 0.0)
+
+    def _own_share(self, zone: Zone) -> float:
+        kept = self.kept[zone.number]
+        return kept if self.has_demand[zone.number] else float(kept > 0.0)
+
+    def _settle_rest(
+        self, zone: Zone, leaving: float, headroom: dict[int, float], shares: ZoneShares
+    ) -> float:
+        """The part of the zone's traffic to reject; what fits nowhere stays in a zone that is reachable."""
+        rejected = leaving / zone.demand if self.has_demand[zone.number] else 0.0
+        if self.kept[zone.number] and rejected:
+            shares[zone.number][zone.number] += rejected
+            rejected = 0.0
+        if self.has_demand[zone.number] or self.kept[zone.number]:
+            return rejected
+        return self._place_without_demand(zone, headroom, shares)
+
+    def _place_without_demand(self, zone: Zone, headroom: dict[int, float], shares: ZoneShares) -> float:
+        """Should a request of a lost zone without demand come, it goes where most headroom is."""
+        best = max(
+            (n for n in headroom if headroom[n] > 0.0 and self.may_serve(zone, self.zones[n])),
+            key=lambda n: headroom[n],
+            default=None,
+        )
+        if best is None:
+            shares[zone.number] = {zone.number: 0.0}
+            return 1.0
+        shares[zone.number] = {zone.number: 0.0, best: 1.0}
+        return 0.0
+
+    def may_serve(self, zone: Zone, other: Zone) -> bool:
+        """Whether requests of `zone` may go to `other`."""
+        return other.region == zone.region or zone.number not in self.policy.stays
+
+    def _tier(self, zone: Zone, other: Zone) -> int:
+        """0: the zone's own region; then regions in the operators' order, and after these by number."""
+        if other.region == zone.region:
+            return 0
+        preferred = self.policy.order.get(zone.region, ())
+        regions = dict.fromkeys(each.region for each in self.zones)
+        rest = [region for region in regions if region != zone.region and region not in preferred]
+        return 1 + [*preferred, *rest].index(other.region)
+
+    def place(
+        self, tier: int, leaving: dict[int, float], headroom: dict[int, float], shares: ZoneShares
+    ) -> None:
+        """Gives leaving traffic to the zones of a tier in proportion to their headroom; where several zones
+        want the same headroom, each gets its part by what it has to place."""
+        for target, wants in self._wants(tier, leaving, headroom).items():
+            fit = min(1.0, headroom[target] / sum(wants.values()))
+            for source, want in wants.items():
+                given = want * fit
+                share = given / self.zones[source].demand
+                shares[source][target] = shares[source].get(target, 0.0) + share
+                leaving[source] -= given
+                headroom[target] -= given
+            headroom[target] = max(headroom[target], 0.0)
+
+    def _wants(
+        self, tier: int, leaving: dict[int, float], headroom: dict[int, float]
+    ) -> dict[int, dict[int, float]]:
+        """By target zone, then by source zone: the work that it would get if all fitted."""
+        wants: dict[int, dict[int, float]] = {}
+        for zone in self.zones:
+            if leaving[zone.number] <= EPSILON:
+                continue
+            targets = [
+                other.number
+                for other in self.zones
+                if other is not zone
+                and headroom[other.number] > EPSILON
+                and self.may_serve(zone, other)
+                and self._tier(zone, other) == tier
+            ]
+            available = sum(headroom[target] for target in targets)
+            for target in targets:
+                part = leaving[zone.number] * headroom[target] / available
+                wants.setdefault(target, {})[zone.number] = part
+        return wants
--- a/tests/cluster/test_fleet_virtual.py
+++ b/tests/cluster/test_fleet_virtual.py
@@ -4,7 +4,7 @@
 from msgspec.structs import replace
 from runs import fault, scenario
 
-from firwalk.cluster import plan_enforcement, zones
+from firwalk.cluster import plan_enforcement, zone_health, zones
 from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.zones import Zones
 from firwalk.lab.fleet import Fleet
@@ -146,9 +146,9 @@
 
 
 def leans_by_few_tries(patch):
-    patch.setattr(zones.Zones, "_filling", lambda self, zone, losing: False)
-    patch.setattr(zones, "LEAN_TRIES", 0)
-    patch.setattr(zones, "POOLED", 1)
+    patch.setattr(zones.Zones, "_is_absorbing", lambda self, zone, failing: False)
+    patch.setattr(zone_health, "MIN_POOLED_ATTEMPTS", 0)
+    patch.setattr(zone_health, "POOLED_ROUNDS", 1)
 
 
 def test_zones_that_take_load_do_not_lean_and_the_check_sees_ones_that_do(monkeypatch):
@@ -174,7 +174,7 @@
     told = day(fault(4.0, "cut", "executors:c", 7.0, to="nodes"), load=1.3)
     (low, lows), (high, highs) = turned_away(told, 1)
     assert low / lows > 0.1 and high / highs < 0.02
-    monkeypatch.setattr(plan_enforcement.PriorityMix, "turned_away", lambda self, part, importance: part)
+    monkeypatch.setattr(plan_enforcement.PriorityMix, "rejected_ratio", lambda self, part, importance: part)
     (low, lows), (high, highs) = turned_away(told, 1)
     assert high / highs >= 0.02
 
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -4,7 +4,7 @@
 from helpers import LIMITS, OFFERINGS
 
 from firwalk.cluster.plan_enforcement import PlanEnforcer, PriorityMix
-from firwalk.cluster.zones import Mode
+from firwalk.cluster.zone_state import ZoneState
 from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.policy.interface import EndpointState, Outcome
 
@@ -84,7 +84,7 @@
         return zones, away
 
 
-OPEN, AWAY = Mode.OPEN, Mode.AWAY
+OPEN, AWAY = ZoneState.OPEN, ZoneState.UNAVAILABLE
 
 
 def test_a_lost_zone_gets_nothing_from_a_node_that_does_not_reach_it_and_something_from_one_that_does():
@@ -156,8 +156,8 @@
     for _ in range(400):
         mix.add(1.0, 2.0)
         mix.add(4.0, 2.0)
-    assert (mix.turned_away(part, 1.0), mix.turned_away(part, 4.0)) == pytest.approx(expected, abs=0.02)
+    assert (mix.rejected_ratio(part, 1.0), mix.rejected_ratio(part, 4.0)) == pytest.approx(expected, abs=0.02)
 
 
 def test_an_importance_that_has_not_come_yet_goes_only_when_all_goes():
-    assert PriorityMix().turned_away(0.5, 1.0) == 0.0 and PriorityMix().turned_away(1.0, 1.0) == 1.0
+    assert PriorityMix().rejected_ratio(0.5, 1.0) == 0.0 and PriorityMix().rejected_ratio(1.0, 1.0) == 1.0
--- a/tests/cluster/test_zones.py
+++ b/tests/cluster/test_zones.py
@@ -4,10 +4,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firwalk.cluster import zones as zones_module
+from firwalk.cluster import zone_health
 from firwalk.cluster.health_observations import HealthObserver, views
 from firwalk.cluster.zone_observation import ZoneObservation
-from firwalk.cluster.zones import REGION, STEPS, Mode, ZonePolicy, Zones, followed
+from firwalk.cluster.zone_plan import decode_routing
+from firwalk.cluster.zone_shares import ShareCalculator, ZonePolicy
+from firwalk.cluster.zone_state import RECOVERY_STEPS, ZoneState
+from firwalk.cluster.zones import REGION, Zones
 
 GOOD, LOST = ZoneObservation(10, 0, 0, 0.01, 10.0), ZoneObservation(10, 10, 0, 0.0, 10.0)
 
@@ -38,8 +41,8 @@
             self.zones.look(self.now, self.up, self.zone_of)
         return self.zones.division
 
-    def modes(self):
-        return [zone.mode for zone in self.zones.all]
+    def states(self):
+        return [zone.state for zone in self.zones.all]
 
 
 def lost(*which):
@@ -55,18 +58,18 @@
     fleet = Fleet()
     assert fleet.look(unsure).shares[1] == {1: 1.0}
     division = fleet.look(unsure)
-    assert fleet.modes() == [Mode.OPEN, Mode.AWAY, Mode.OPEN]
+    assert fleet.states() == [ZoneState.OPEN, ZoneState.UNAVAILABLE, ZoneState.OPEN]
     assert division.shares[1][1] == 0.0 and division.shares[1][0] == pytest.approx(0.5)
-    assert division.shares[0] == {0: 1.0} and not any(division.turned_away.values())
+    assert division.shares[0] == {0: 1.0} and not any(division.rejected.values())
 
 
 def test_plain_evidence_needs_one_look_and_that_of_few_nodes_or_of_one_zone_is_never_plain():
     fleet = Fleet()
     fleet.look(lost(1))
-    assert fleet.modes() == [Mode.OPEN, Mode.AWAY, Mode.OPEN]
+    assert fleet.states() == [ZoneState.OPEN, ZoneState.UNAVAILABLE, ZoneState.OPEN]
     few = Fleet(nodes=5)
     few.look(lost(1))
-    assert few.modes() == [Mode.OPEN] * 3
+    assert few.states() == [ZoneState.OPEN] * 3
     one_zone = Fleet(nodes=30)
     one_zone.look(
         lambda seat, zone: (
@@ -74,14 +77,14 @@
         ),
         times=3,
     )
-    assert one_zone.modes() == [Mode.OPEN] * 3
+    assert one_zone.states() == [ZoneState.OPEN] * 3
 
 
 def test_a_glance_acts_on_what_is_plain_alone_and_counts_nothing():
     """Nothing is held for less long because of it."""
     fleet = Fleet()
     fleet.look()
-    sound = [zone.sound for zone in fleet.zones.all]
+    sound = [zone.healthy_rounds for zone in fleet.zones.all]
 
     def told(sees, span=0.5):
         fleet.now += 0.2
@@ -96,10 +99,12 @@
         return fleet.zones.glance(fleet.now, span, fleet.up, fleet.zone_of)
 
     assert not told(unsure) and fleet.zones.alarmed(0) and not fleet.zones.alarmed(2)
-    assert [zone.sound for zone in fleet.zones.all] == sound and not fleet.zones.all[1].bad
+    assert [zone.healthy_rounds for zone in fleet.zones.all] == sound and not fleet.zones.all[
+        1
+    ].unavailable_rounds
     fleet.now += 0.4
     assert not fleet.zones.glance(fleet.now, 0.3, fleet.up, fleet.zone_of)  # too old by then
-    assert told(lost(1)) and fleet.modes() == [Mode.OPEN, Mode.AWAY, Mode.OPEN]
+    assert told(lost(1)) and fleet.states() == [ZoneState.OPEN, ZoneState.UNAVAILABLE, ZoneState.OPEN]
     assert fleet.zones.division.shares[1][1] == 0.0 and not fleet.zones.alarmed(0)
     assert not told(lost(1)) and fleet.zones.all[1].moves == 1
 
@@ -120,8 +125,8 @@
     fresh = Fleet()
     for seat in range(6):
         fresh.zones.told_by(0.3, seat, fresh.zone_of[seat], fresh.asks, once, True)
-    assert fresh.zones.look(0.5, fresh.up, fresh.zone_of) and fresh.modes() == [Mode.OPEN] * 3
-    assert not fresh.zones.told and fresh.zones.glance(0.6, 0.5, fresh.up, fresh.zone_of)
+    assert fresh.zones.look(0.5, fresh.up, fresh.zone_of) and fresh.states() == [ZoneState.OPEN] * 3
+    assert not fresh.zones.health.reports and fresh.zones.glance(0.6, 0.5, fresh.up, fresh.zone_of)
 
 
 def test_a_new_coordinator_glances_at_nothing_before_its_first_look():
@@ -132,7 +137,9 @@
         fleet.zones.told_by(
             0.3, seat, fleet.zone_of[seat], fleet.asks, {z: fleet.view(lost(1)(seat, z)) for z in range(3)}
         )
-    assert not fleet.zones.glance(0.4, 0.5, fleet.up, fleet.zone_of) and fleet.modes() == [Mode.OPEN] * 3
+    assert (
+        not fleet.zones.glance(0.4, 0.5, fleet.up, fleet.zone_of) and fleet.states() == [ZoneState.OPEN] * 3
+    )
     assert fleet.zones.look(0.5, fleet.up, fleet.zone_of).shares[1] == {
         1: 0.0,
         0: pytest.approx(0.5),
@@ -161,11 +168,11 @@
     fleet = Fleet()
     fleet.look(times=3)
     fleet.look(lambda seat, zone: LOST if zone == 1 else slow if zone == 0 else GOOD, times=1)
-    assert fleet.modes() == [Mode.OPEN, Mode.AWAY, Mode.OPEN]
+    assert fleet.states() == [ZoneState.OPEN, ZoneState.UNAVAILABLE, ZoneState.OPEN]
     alone = Fleet()
     alone.look(times=3)
     alone.look(lambda seat, zone: slow if zone == 0 else GOOD, times=4)
-    assert alone.modes()[0] is Mode.LEANING
+    assert alone.states()[0] is ZoneState.SHIFTING
 
 
 def test_a_few_starts_that_waited_lean_no_zone_and_the_check_sees_that_they_did(monkeypatch):
@@ -178,14 +185,14 @@
     fleet = Fleet()
     fleet.look(lambda seat, zone: GOOD if zone < 2 else ZoneObservation(), times=3)
     fleet.look(lambda seat, zone: GOOD if zone < 2 else waited(seat, zone))
-    assert fleet.modes() == [Mode.OPEN] * 3
+    assert fleet.states() == [ZoneState.OPEN] * 3
     fleet.look(lambda seat, zone: GOOD if zone < 2 else waited(seat, zone), times=2)
-    assert fleet.modes()[2] is Mode.LEANING
-    monkeypatch.setattr(zones_module, "LEAN_TRIES", 0)
+    assert fleet.states()[2] is ZoneState.SHIFTING
+    monkeypatch.setattr(zone_health, "MIN_POOLED_ATTEMPTS", 0)
     hasty = Fleet()
     hasty.look(lambda seat, zone: GOOD if zone < 2 else ZoneObservation(), times=3)
     hasty.look(lambda seat, zone: GOOD if zone < 2 else waited(seat, zone))
-    assert hasty.modes()[2] is Mode.LEANING
+    assert hasty.states()[2] is ZoneState.SHIFTING
 
 
 def test_one_look_in_which_a_machine_stood_still_leans_no_zone():
@@ -196,9 +203,9 @@
     for _ in range(2):
         fleet.look(lambda seat, zone: held_up if zone == 1 else GOOD)
         fleet.look(times=2)
-    assert fleet.modes() == [Mode.OPEN] * 3 and fleet.zones.all[1].moves == 0
+    assert fleet.states() == [ZoneState.OPEN] * 3 and fleet.zones.all[1].moves == 0
     fleet.look(lambda seat, zone: held_up if zone == 1 else GOOD, times=3)
-    assert fleet.modes() == [Mode.OPEN, Mode.LEANING, Mode.OPEN]
+    assert fleet.states() == [ZoneState.OPEN, ZoneState.SHIFTING, ZoneState.OPEN]
 
 
 def test_what_a_pause_let_through_at_once_is_not_what_clients_ask():
@@ -239,8 +246,8 @@
     half = ZoneObservation(10, 4, 0, 0.01, 10.0)
     fleet = Fleet()
     fleet.look(lambda seat, zone: half if zone == 1 else GOOD, times=2)
-    assert fleet.modes()[1] is Mode.LEANING
-    fleet.zones._to(fleet.now, fleet.zones.all[1], Mode.RETURNING, 2)
+    assert fleet.states()[1] is ZoneState.SHIFTING
+    fleet.zones.all[1].change_state(fleet.now, ZoneState.RECOVERING, 2)
     fleet.look()
     assert fleet.zones.all[1].step == 2
 
@@ -249,13 +256,13 @@
     fleet = Fleet()
     wild = ZoneObservation(10**6, 10**6, 0, 0.0, 1e8)
     fleet.look(lambda seat, zone: wild if seat == 0 else GOOD, times=10)
-    assert fleet.modes() == [Mode.OPEN] * 3
+    assert fleet.states() == [ZoneState.OPEN] * 3
 
 
 def test_the_nodes_of_one_zone_close_no_other():
     fleet = Fleet()
     fleet.look(lambda seat, zone: LOST if seat % 3 == 0 and zone == 1 else GOOD, times=10)
-    assert fleet.modes() == [Mode.OPEN] * 3
+    assert fleet.states() == [ZoneState.OPEN] * 3
 
 
 def test_the_own_nodes_of_a_zone_that_are_down_are_a_voice():
@@ -263,7 +270,7 @@
     fleet = Fleet(zones=2, nodes=6)
     fleet.up = [seat for seat in fleet.up if seat % 2 == 0]
     fleet.look(lost(1), times=2)
-    assert fleet.modes() == [Mode.OPEN, Mode.AWAY]
+    assert fleet.states() == [ZoneState.OPEN, ZoneState.UNAVAILABLE]
 
 
 def test_figures_that_cannot_be_are_passed_over():
@@ -276,7 +283,7 @@
         (0, 1.0, ZoneObservation(5, 1, 0, -1.0)),
     ):
         zones.told_by(1.0, 0, zone, asks, {0: view})
-    assert not zones.told
+    assert not zones.health.reports
 
 
 def test_old_evidence_counts_no_more():
@@ -285,16 +292,16 @@
     fleet.up = []
     for _ in range(6):
         fleet.look()
-    assert fleet.modes()[1] is Mode.OPEN and not fleet.zones.told
+    assert fleet.states()[1] is ZoneState.OPEN and not fleet.zones.health.reports
 
 
 def test_a_slowdown_that_all_share_moves_nothing_and_that_of_one_leans():
     slow = ZoneObservation(10, 0, 0, 0.5, 10.0)
     fleet = Fleet()
     fleet.look(lambda seat, zone: slow, times=5)
-    assert fleet.modes() == [Mode.OPEN] * 3
+    assert fleet.states() == [ZoneState.OPEN] * 3
     division = fleet.look(lambda seat, zone: slow if zone == 2 else GOOD, times=8)
-    assert fleet.modes()[2] is Mode.LEANING and 0.4 < division.shares[2][2] < 0.6
+    assert fleet.states()[2] is ZoneState.SHIFTING and 0.4 < division.shares[2][2] < 0.6
 
 
 def test_return_is_by_steps_each_held_and_taken_back_when_it_is_not_sound():
@@ -302,7 +309,7 @@
     fleet.look(lost(1), times=2)
     kept = [fleet.look().shares[1][1] for _ in range(40)]
     steps = list(dict.fromkeys(kept))
-    assert steps == [0.0, *STEPS] and fleet.modes()[1] is Mode.OPEN
+    assert steps == [0.0, *RECOVERY_STEPS] and fleet.states()[1] is ZoneState.OPEN
     fleet.look(lost(1), times=2)
     while fleet.zones.all[1].step < 2:
         fleet.look()
@@ -323,13 +330,13 @@
 def test_when_all_are_bad_all_stays_near():
     fleet = Fleet()
     division = fleet.look(lost(0, 1, 2), times=3)
-    assert division.panic and division.shares == {0: {0: 1.0}, 1: {1: 1.0}, 2: {2: 1.0}}
+    assert division.all_local and division.shares == {0: {0: 1.0}, 1: {1: 1.0}, 2: {2: 1.0}}
 
 
-def test_what_fits_nowhere_is_turned_away_and_not_put_on_others():
+def test_what_fits_nowhere_is_rejected_and_not_put_on_others():
     fleet = Fleet(asks=2.0, bears=8.0)  # each zone asks 6, may be used up to 6.4
     division = fleet.look(lost(1), times=2)
-    assert division.turned_away[1] == pytest.approx(1 - 0.8 / 6.0)
+    assert division.rejected[1] == pytest.approx(1 - 0.8 / 6.0)
     assert division.given({0: 6.0, 1: 6.0, 2: 6.0}) == pytest.approx({0: 0.4, 1: 0.0, 2: 0.4})
 
 
@@ -341,7 +348,7 @@
     assert division.shares[0][3] == pytest.approx(5 / 6) and division.shares[0][2] == pytest.approx(1 / 6)
     stays = Fleet(zones=4, nodes=12, terms=ZonePolicy((0, 0, 1, 2), stays=(0,)))
     division = stays.look(lost(0, 1), times=2)
-    assert division.turned_away[0] == pytest.approx(1.0) and division.turned_away[1] == 0.0
+    assert division.rejected[0] == pytest.approx(1.0) and division.rejected[1] == 0.0
 
 
 def test_operators_drain_what_fits_and_are_refused_with_the_reason_what_does_not():
@@ -353,9 +360,9 @@
     full.look(lost(1), times=2)
     before = full.zones.division
     assert "would fit nowhere" in full.zones.drain([0])
-    assert full.zones.division is before and not full.zones.all[0].drained
+    assert full.zones.division is before and not full.zones.all[0].is_drained
     fleet.zones.restore([0], fleet.now)
-    assert fleet.modes()[0] is Mode.RETURNING
+    assert fleet.states()[0] is ZoneState.RECOVERING
 
 
 def test_a_new_coordinator_goes_on_from_the_plan():
@@ -365,17 +372,17 @@
     fleet.look(lost(1), times=3)
     again = Fleet()
     again.zones.resume(0.0, fleet.zones.section())
-    assert again.modes() == fleet.modes() and again.zones.all[2].drained
-    for bad in (None, {}, {"modes": [[9, 0, 0, 0]] * 3}, {"modes": [[0, 0, 0, 0]]}, {"modes": "xyz"}):
+    assert again.states() == fleet.states() and again.zones.all[2].is_drained
+    for bad in (None, {}, {"states": [[9, 0, 0, 0]] * 3}, {"states": [[0, 0, 0, 0]]}, {"states": "xyz"}):
         fresh = Fleet()
         fresh.zones.resume(0.0, bad)
-        assert fresh.modes() == [Mode.OPEN] * 3
+        assert fresh.states() == [ZoneState.OPEN] * 3
 
 
 def test_a_node_follows_its_own_zone_s_part_and_falls_back_to_near():
     fleet = Fleet()
     section = fleet.zones.section() | {"shares": {"1": {"0": 0.3, "1": 0.2, "2": 0.3}}, "away": {"1": 0.2}}
-    parts, away = followed(section, 1, 3)
+    parts, away = decode_routing(section, 1, 3)
     assert [b for _, b in parts] == [1, 0, 2] and parts[-1][0] == 1.0 and away == 0.2
     for bad in (
         None,
@@ -384,8 +391,8 @@
         {"shares": {"1": {"0": -1}}, "away": {}},
         {"shares": [], "away": {}},
     ):
-        assert followed(bad, 1, 3) == ([(1.0, 1)], 0.0)
-    assert followed({"shares": {}, "away": {"1": 1.0}}, 1, 3) == ([(1.0, 1)], 1.0)
+        assert decode_routing(bad, 1, 3) == ([(1.0, 1)], 0.0)
+    assert decode_routing({"shares": {}, "away": {"1": 1.0}}, 1, 3) == ([(1.0, 1)], 1.0)
 
 
 def drawn_fleet(data, zones_of=Zones):
@@ -399,23 +406,25 @@
         )
     )
     for zone in zones.all:
-        zone.asks, zone.bears = data.draw(part), data.draw(part)
-        zone.mode = data.draw(st.sampled_from(Mode))
-        zone.step = data.draw(st.integers(0, len(STEPS) - 1)) if zone.mode is Mode.RETURNING else 0
-        zone.drained = data.draw(st.booleans()) and data.draw(st.booleans())
+        zone.demand, zone.capacity = data.draw(part), data.draw(part)
+        zone.state = data.draw(st.sampled_from(ZoneState))
+        zone.step = (
+            data.draw(st.integers(0, len(RECOVERY_STEPS) - 1)) if zone.state is ZoneState.RECOVERING else 0
+        )
+        zone.is_drained = data.draw(st.booleans()) and data.draw(st.booleans())
     return zones
 
 
 def broken(zones):
     """What I4 says of a division, by its own figures."""
     division, wrong = zones.divide(), []
-    asks = {zone.number: zone.asks for zone in zones.all}
+    asks = {zone.number: zone.demand for zone in zones.all}
     got = division.given(asks)
     for zone in zones.all:
         parts = division.shares[zone.number]
-        if abs(sum(parts.values()) + division.turned_away[zone.number] - 1.0) > 1e-6:
+        if abs(sum(parts.values()) + division.rejected[zone.number] - 1.0) > 1e-6:
             wrong.append("parts do not add up")
-        if got[zone.number] > max(zone.bears * zones.terms.head_room - zone.asks, 0.0) + 1e-6:
+        if got[zone.number] > max(zone.capacity * zones.terms.head_room - zone.demand, 0.0) + 1e-6:
             wrong.append("more than it bears")
         if got[zone.number] > 1e-6 and zones.keeps(zone) < 1.0:
             wrong.append("given to one that is not whole")
@@ -423,7 +432,7 @@
             part > 1e-6 and zones.all[b].region != zone.region for b, part in parts.items()
         ):
             wrong.append("left its region")
-        if not division.panic and zones.keeps(zone) == 0.0 and parts.get(zone.number, 0.0) > 1e-6:
+        if not division.all_local and zones.keeps(zone) == 0.0 and parts.get(zone.number, 0.0) > 1e-6:
             wrong.append("kept at one that is away")
     return wrong
 
@@ -438,38 +447,42 @@
     """Its parts did not add up: half of 5e-324 is all of it, or none."""
     for asks in (5e-324, 1e-300, 1e-12):
         zones = Zones(ZonePolicy((0, 0)))
-        zones.all[1].asks, zones.all[1].mode = asks, Mode.LEANING
+        zones.all[1].demand, zones.all[1].state = asks, ZoneState.SHIFTING
         assert broken(zones) == []
-        zones.all[1].mode = Mode.AWAY
+        zones.all[1].state = ZoneState.UNAVAILABLE
         assert broken(zones) == []
 
 
+class OverfilledShares(ShareCalculator):
+    def place(self, tier, leaving, headroom, shares):
+        super().place(tier, leaving, {n: r * 1e6 for n, r in headroom.items()}, shares)
+
+
 class GivesAll(Zones):
-    def _place(self, tier, leaving, room, shares):
-        big = {n: r * 1e6 for n, r in room.items()}
-        super()._place(tier, leaving, big, shares)
+    share_calculator = OverfilledShares
 
 
-class ForgetsStays(Zones):
-    def _may(self, zone, other):
+class UnboundShares(ShareCalculator):
+    def may_serve(self, zone, other):
         return True
 
 
-class GivesToReturning(Zones):
-    def keeps(self, zone):
-        return super().keeps(zone)
+class ForgetsStays(Zones):
+    share_calculator = UnboundShares
+
 
+class GivesToRecovering(Zones):
     def divide(self):
-        modes = [zone.mode for zone in self.all]
+        states = [zone.state for zone in self.all]
         for zone in self.all:
-            zone.mode = Mode.OPEN if zone.mode is Mode.RETURNING else zone.mode
+            zone.state = ZoneState.OPEN if zone.state is ZoneState.RECOVERING else zone.state
         division = super().divide()
-        for zone, mode in zip(self.all, modes, strict=True):
-            zone.mode = mode
+        for zone, mode in zip(self.all, states, strict=True):
+            zone.state = mode
         return division
 
 
-@pytest.mark.parametrize("mutant", [GivesAll, ForgetsStays, GivesToReturning])
+@pytest.mark.parametrize("mutant", [GivesAll, ForgetsStays, GivesToRecovering])
 def test_each_mutant_of_the_division_is_caught(mutant):
     found = []
 
@@ -486,7 +499,7 @@
 def test_where_many_nodes_speak_a_single_try_of_each_will_do(nodes, away):
     fleet = Fleet(nodes=nodes)
     fleet.look(lambda seat, zone: ZoneObservation(1, 1, 0, 0.0, 10.0) if zone == 1 else GOOD, times=2)
-    assert (fleet.modes()[1] is Mode.AWAY) == away
+    assert (fleet.states()[1] is ZoneState.UNAVAILABLE) == away
 
 
 def test_the_tries_of_a_node_with_little_traffic_add_up():
@@ -510,13 +523,13 @@
     fleet.look()
     assert fleet.zones.named(REGION + 1) == [2, 3] and fleet.zones.named(9) == []
     assert fleet.zones.dry([2, 3]).count("0% would fit nowhere") == 2
-    assert not any(zone.drained for zone in fleet.zones.all)
+    assert not any(zone.is_drained for zone in fleet.zones.all)
     assert fleet.zones.drain([2, 3]) == "" and set(fleet.zones.division.shares[2]) == {0, 1, 2}
-    assert [zone.drained for zone in fleet.zones.all] == [False, False, True, True]
+    assert [zone.is_drained for zone in fleet.zones.all] == [False, False, True, True]
     busy = Fleet(zones=4, nodes=12, asks=2.0, terms=ZonePolicy((0, 0, 1, 1)))
     busy.look()
     assert "would fit nowhere" in busy.zones.drain([2, 3])
-    assert not any(zone.drained for zone in busy.zones.all)
+    assert not any(zone.is_drained for zone in busy.zones.all)
 
 
 @pytest.mark.parametrize("period", [1.0, 3.0, 10.0])
@@ -536,11 +549,11 @@
 def test_a_slow_zone_leans_but_not_one_that_takes_the_load_of_a_lost_one():
     fleet = Fleet()
     fleet.look(slow(2), times=2)
-    assert fleet.modes()[2] is Mode.LEANING
+    assert fleet.states()[2] is ZoneState.SHIFTING
     fleet = Fleet(asks=2.0)
     fleet.look(lost(1), times=2)
     fleet.look(lambda seat, zone: LOST if zone == 1 else slow(2)(seat, zone), times=6)
-    assert fleet.modes() == [Mode.OPEN, Mode.AWAY, Mode.OPEN]
+    assert fleet.states() == [ZoneState.OPEN, ZoneState.UNAVAILABLE, ZoneState.OPEN]
 
 
 def test_a_zone_of_the_file_is_out_stays_out_over_a_new_coordinator_and_returns_by_steps():
@@ -550,18 +563,23 @@
     assert fleet.zones.restore([2], fleet.now) != ""
     other = Zones(fleet.zones.terms)
     other.resume(0.0, fleet.zones.section())
-    assert other.all[2].filed and not other.all[2].drained
+    assert other.all[2].is_drained_by_file and not other.all[2].is_drained
     fleet.zones.filed(fleet.now, ())
-    assert (fleet.zones.all[2].mode, fleet.zones.keeps(fleet.zones.all[2])) == (Mode.RETURNING, STEPS[0])
+    assert (fleet.zones.all[2].state, fleet.zones.keeps(fleet.zones.all[2])) == (
+        ZoneState.RECOVERING,
+        RECOVERY_STEPS[0],
+    )
 
 
 def test_a_zone_of_the_file_that_would_fit_nowhere_stays_in_use_with_the_reason_and_is_tried_again():
     fleet = Fleet(asks=2.6)
     fleet.look(times=2)
-    assert "fit nowhere" in fleet.zones.filed(fleet.now, (2,))[2] and not fleet.zones.all[2].filed
+    assert (
+        "fit nowhere" in fleet.zones.filed(fleet.now, (2,))[2] and not fleet.zones.all[2].is_drained_by_file
+    )
     fleet.asks = 0.5
     fleet.look(times=2)
-    assert fleet.zones.filed(fleet.now, (2,)) == {} and fleet.zones.all[2].filed
+    assert fleet.zones.filed(fleet.now, (2,)) == {} and fleet.zones.all[2].is_drained_by_file
 
 
 def test_one_that_is_drained_by_hand_too_stays_out_when_the_file_calls_it_back():
--- a/tests/cluster/test_zones_virtual.py
+++ b/tests/cluster/test_zones_virtual.py
@@ -4,7 +4,8 @@
 
 from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.messages import HealthObservations
-from firwalk.cluster.zones import ZonePolicy, followed
+from firwalk.cluster.zone_plan import decode_routing
+from firwalk.cluster.zones import ZonePolicy
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch
 from firwalk.lab.virtual import Fault, Schedule, World
@@ -42,7 +43,7 @@
     """Which part of its zone's tasks a node's plan in force keeps there."""
     process = world.processes[seat]
     sections = process.seat.follower.now_in_force(process.clock()) or {}
-    parts, _ = followed(sections.get("zones"), zone, ZONES)
+    parts, _ = decode_routing(sections.get("zones"), zone, ZONES)
     return sum(
         upto - below
         for (upto, other), below in zip(parts, [0.0, *(upto for upto, _ in parts)], strict=False)
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -153,16 +153,16 @@
 def gives_a_zone_more_than_it_bears():
     """Whatever is open takes all that is lost, also where its own clients ask for all its head room just
     then: a double that left these alone gave nothing in one run of some, and was not found out."""
-    from firwalk.cluster.zones import Zones
+    from firwalk.cluster.zone_shares import ShareCalculator
 
-    real = Zones._place
+    real = ShareCalculator.place
 
     def place(self, tier, leaving, room, shares):
-        for zone in self.all:
-            room[zone.number] = 1e6 if self.keeps(zone) == 1.0 else 0.0
+        for zone in self.zones:
+            room[zone.number] = 1e6 if self.kept[zone.number] == 1.0 else 0.0
         real(self, tier, leaving, room, shares)
 
-    Zones._place = place
+    ShareCalculator.place = place
 
 
 def part_outlives_its_lease():
--- a/tests/golden/test_golden_nodes.py
+++ b/tests/golden/test_golden_nodes.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from firwalk.cluster import messages, node_id_ranges, plan, quotas, rollout, zones
+from firwalk.cluster import messages, node_id_ranges, plan, quotas, rollout, zone_state, zones
 from firwalk.config.rollout_file import RolloutSpec
 from firwalk.dispatcher import failure_gossip
 
@@ -245,8 +245,8 @@
 def test_section_of_zones():
     """Shares and parts turned away by zone, then mode, step, drained or filed, and losses of each."""
     whole = zones.Zones(zones.ZonePolicy((0, 0, 1), drained=(2,)))
-    whole.all[1].mode, whole.all[1].step, whole.all[1].flaps = zones.Mode.RETURNING, 2, 3
-    whole.all[2].drained = whole.all[2].filed = True
+    whole.all[1].state, whole.all[1].step, whole.all[1].losses = zone_state.ZoneState.RECOVERING, 2, 3
+    whole.all[2].is_drained = whole.all[2].is_drained_by_file = True
     whole.division = zones.Division({0: {0: 0.75, 1: 1 / 3}, 1: {1: 0.00001}}, {0: 0.0, 1: 0.12345678}, True)
     text = (
         b'{"away":{"1":0.1235},"modes":[[0,0,0,0],[3,2,0,3],[0,0,3,0]],"panic":true,"shares":{"'
@@ -255,10 +255,12 @@
     assert plan.encoded(whole.section()) == text
     read = zones.Zones(zones.ZonePolicy((0, 0, 1)))
     read.resume(100.0, msgspec.json.decode(text))
-    assert [(zone.mode, zone.step, zone.drained, zone.filed, zone.flaps) for zone in read.all] == [
-        (zones.Mode.OPEN, 0, False, False, 0),
-        (zones.Mode.RETURNING, 2, False, False, 3),
-        (zones.Mode.OPEN, 0, True, True, 0),
+    assert [
+        (zone.state, zone.step, zone.is_drained, zone.is_drained_by_file, zone.losses) for zone in read.all
+    ] == [
+        (zone_state.ZoneState.OPEN, 0, False, False, 0),
+        (zone_state.ZoneState.RECOVERING, 2, False, False, 3),
+        (zone_state.ZoneState.OPEN, 0, True, True, 0),
     ]
 
 
