--- a/firwalk/cluster/quota_accounting.py
+++ b/firwalk/cluster/quota_accounting.py
@@ -1,183 +1,244 @@
-"""A node's tasks on its ledger: charged before the first send, settled when they are over.
+"""Charges a node's requests to their tenants' quotas: reserved before the first attempt, settled at the
+end.
 
 No I/O. The contracts in force are those that the plan names; times are seconds on the own clock.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterator
+from typing import Any, Protocol
 
 from firwalk.broker.contracts import Contracts
-from firwalk.broker.ledger import Ledger, Reservation
+from firwalk.broker.ledger import Account, Ledger, Reservation
 from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.node_id_ranges import decode_ranges
 from firwalk.cluster.quotas import ContractSet, beside, in_force
 
-KEPT = 4  # contracts that a node keeps: those in force, and what may come after
-DAY = 86400.0
-LOG_EVERY = 60.0  # seconds between two lines of a team's spending in the log
-MOST_LOGGED = 10  # teams of which there are such lines
-
-
-def offered(contracts: Contracts, seats: int, floor: float, unix: Callable[[], float]) -> ContractSet:
-    """What a coordinator leases: each whole but for the floors that all nodes have for good."""
-    wholes = [team.rate() - int(team.rate() * floor) // seats * seats for team in contracts.teams]
-    return ContractSet(
-        contracts.version,
-        contracts.check(),
-        tuple(team.name for team in contracts.teams),
-        tuple(wholes),
-        lambda: contracts.begun(unix()),
-    )
+MAX_SPARE_CONTRACTS = 4  # kept beside those in force, since the plan may name them next
+NO_QUOTA_RETRY_AFTER_S = 86400.0  # until the contracts change, a retry is rejected again
+LOG_INTERVAL_S = 60.0  # between two log lines of a tenant's spending
+MAX_LOGGED_TENANTS = 10
+
+PlanSections = dict[str, Any]
+
+
+class ChargedClient(Protocol):
+    """Where the dispatcher keeps what it answers to the client and settles in the end."""
+
+    retry_after: float
+    charge: Any
+
+
+class ChargedRequest(Protocol):
+    """A request that asks for admission; `work`: its estimate in seconds at speed 1."""
+
+    ref: Any  # a ChargedClient
+    work: float
 
 
 class Charge:
-    """What a task reserved, for whoever learns that it is over."""
+    """A request's reservation, for the dispatcher to settle."""
 
-    def __init__(self, reservation: Reservation, clock: Callable[[], float]):
-        self.reservation, self.clock = reservation, clock
+    def __init__(self, reservation: Reservation, clock: Callable[[], float]) -> None:
+        self.reservation = reservation
+        self.clock = clock
 
-    def settle(self, measured: float, ran: bool) -> None:
-        """`measured`: work of the assignment that finished, 0: none did; `ran`: some of it may have run."""
-        spent = measured or (self.reservation.work if ran else 0.0)
-        self.reservation.settle(self.clock(), spent, bool(measured))
+    def settle(self, measured: float, may_have_run: bool) -> None:
+        """`measured`: work of the attempt that completed, 0 if none did; `may_have_run`: whether any part of
+        the request may have been executed."""
+        estimated = self.reservation.work if may_have_run else 0.0
+        self.reservation.settle(self.clock(), measured or estimated, bool(measured))
 
 
 class QuotaAccounting:
-    """`clock`: the seat's; `unix`: the wall clock, by which alone a coordinator tells whether contracts have
-    begun; `find`: contracts of a version that a change brings, by their file, if it is there."""
+    """The tenants' accounts at this node, by the contracts that it follows.
+
+    `clock`: the node's; `unix`: the wall clock, which only decides whether contracts have begun;
+    `find_contracts`: loads the contracts of a version that a rollout brings, if their file is there.
+    """
 
     def __init__(
         self,
-        seat: ClusterMember,
+        member: ClusterMember,
         clock: Callable[[], float],
         unix: Callable[[], float],
-        find: Callable[[int], Contracts | None] = lambda version: None,
-    ):
-        self.seat, self.clock, self.unix, self.find = seat, clock, unix, find
-        seat.find_offer = self._found
-        self.floor = seat.holder.terms.floor
-        self.ledger = Ledger(seat.seats, self.floor)
-        self.known: dict[int, Contracts] = {}
-        self.check, self.logged_at = 0, clock()
-        seat.holder.purses = lambda: list(self.ledger.accounts.values())
-        seat.holder.turned = self._turned
+        find_contracts: Callable[[int], Contracts | None] = lambda version: None,
+    ) -> None:
+        self.member = member
+        assert member.holder is not None, "the quota part is configured"
+        self.client = member.holder
+        self.clock = clock
+        self.unix = unix
+        self.find_contracts = find_contracts
+        self.floor = self.client.terms.floor
+        self.ledger = Ledger(member.seats, self.floor)
+        self.known: dict[int, Contracts] = {}  # by checksum
+        self.checksum = 0  # of the contracts that this node follows; 0: none
+        self.logged_at = clock()
+        member.find_offer = self._find_contract_set
+        self.client.purses = lambda: list(self.ledger.accounts.values())
+        self.client.turned = self._record_accounts
 
     def has(self, contracts: Contracts) -> None:
-        """A file that was read, checked."""
-        self.known[contracts.check()] = contracts
-        for check in [check for check in self.known if check not in (self.check, contracts.check())][:-KEPT]:
-            del self.known[check]
-        if not self.check and contracts.begun(self.unix()):
-            # No plan yet: the floors of the own file, or each restart would serve what a team floods with.
+        """The operators' file was read and is valid."""
+        self._remember(contracts)
+        if not self.checksum and contracts.begun(self.unix()):
+            # Without a plan yet, the guaranteed parts of the own file apply. Otherwise each restart would
+            # serve a tenant's flood.
             self.ledger.change(self.clock(), contracts)
-        self.seat.has_contracts(offered(contracts, self.seat.seats, self.floor, self.unix))
-
-    def _found(self, version: int) -> ContractSet | None:
-        """Those of a change: kept, and never put in force for being newer."""
-        contracts = self.find(version)
-        if contracts is None or contracts.version != version:
-            return None
-        self.known[contracts.check()] = contracts
-        return offered(contracts, self.seat.seats, self.floor, self.unix)
+        self.member.has_contracts(self._contract_set(contracts))
 
     def version(self) -> int:
-        """Of the contracts that this node goes by; 0: none."""
-        return self.ledger.contracts.version if self.ledger.contracts is not None and self.check else 0
-
-    def _wanted(self, sections: dict[str, Any]) -> int:
-        """The checksum of those that this node is to go by: it goes over to a change's when the plan names
-        its seat, and when it has them."""
-        told, change = sections.get("budgets"), sections.get("stages") or {}
-        version, check = in_force(told)
-        other, named = beside(told)
-        try:
-            goes = named and change["kind"] == "contracts" and self.seat.seat in decode_ranges(change["new"])
-        except (KeyError, TypeError, ValueError):
-            goes = False
-        if goes and (named in self.known or self._found(other) is not None and named in self.known):
-            return named
-        if check and check not in self.known:
-            self._found(version)
-        return check
+        """Of the contracts that this node follows; 0: none."""
+        if self.ledger.contracts is None or not self.checksum:
+            return 0
+        return self.ledger.contracts.version
 
     def end(self) -> None:
-        """The seat has ended: its parts and its floors are another life's."""
+        """The member has left: its quotas are no longer this node's."""
         self.ledger.end(self.clock())
 
     def follow(self, now: float) -> None:
-        """All at once what the plan says; without a plan in force what it said last, and parts end by
-        themselves."""
-        sections = self.seat.follower.now_in_force(now)
-        check = self._wanted(sections) if sections is not None else self.check
-        if check == self.check:
+        """Changes to the contracts that the plan names, all at once. Without a plan in force those of the
+        last one stay, and leases expire by themselves."""
+        sections = self.member.follower.now_in_force(now)
+        checksum = self._planned_checksum(sections) if sections is not None else self.checksum
+        if checksum == self.checksum:
             return
-        before = {name: number for name, (number, _) in self.ledger.teams.items()}
-        contracts = self.known.get(check)
-        kept = {team.name for team in contracts.teams} if contracts else ()
-        for name, account in self.ledger.accounts.items():
-            if name not in kept and account.holds(now):  # told: whoever counts parts would count it on
-                self.seat.host.event("part", team=account.number, check=self.check, part=0, left=0.0)
-        self.check = check
+        contracts = self.known.get(checksum)
+        self._record_dropped_leases(now, contracts)
+        numbers_before = self._team_numbers()
+        self.checksum = checksum
         self.ledger.change(now, contracts)
-        after = {name: number for name, (number, _) in self.ledger.teams.items()}
-        self.seat.holder.changed(
-            check if contracts else 0,
-            {number: after[name] for name, number in before.items() if name in after},
-        )
-        self.seat.host.event(
+        numbers = self._team_numbers()
+        renumbered = {old: numbers[name] for name, old in numbers_before.items() if name in numbers}
+        self.client.changed(checksum if contracts else 0, renumbered)
+        self.member.host.event(
             "follows_contracts",
             version=contracts.version if contracts else 0,
-            check=check,
+            check=checksum,
             known=contracts is not None,
         )
 
-    def admission_weight(self, task: Any, offering: str, team: str) -> float:
-        """Times its value; 0: it is beyond its budget and is told when to come again. Reserves its estimate
-        otherwise."""
-        now, contracts, pending = self.clock(), self.ledger.contracts, task.ref
+    def admission_weight(self, request: ChargedRequest, request_class: str, tenant: str) -> float:
+        """A factor of the request's priority weight; 0: it is over its quota, and told a Retry-After.
+        Otherwise its estimated work is reserved."""
+        now = self.clock()
+        contracts = self.ledger.contracts
+        client: ChargedClient = request.ref
         if contracts is None:
             return 1.0
-        account = self.ledger.account(now, team)
+        account = self.ledger.account(now, tenant)
         if account is None:
-            pending.retry_after = DAY
+            client.retry_after = NO_QUOTA_RETRY_AFTER_S
             return 1.0 if contracts.others == "serve" else 0.0
-        if account.team.offerings and offering not in account.team.offerings:
-            pending.retry_after = DAY
+        if account.team.offerings and request_class not in account.team.offerings:
+            client.retry_after = NO_QUOTA_RETRY_AFTER_S
             return 0.0
-        work = account.weighed(task.work)
+        work = account.weighed(request.work)
         if account.may_begin() and account.reserve(now, work):
-            sure = account.within(now, work)
-            pending.charge = Charge(Reservation(account, work, sure, task.work), self.clock)
-            return 1.0 if sure else account.team.spare
+            is_guaranteed = account.within(now, work)
+            reservation = Reservation(account, work, is_guaranteed, request.work)
+            client.charge = Charge(reservation, self.clock)
+            return 1.0 if is_guaranteed else account.team.spare
         account.beyond += work
         if account.team.beyond == "lower":
             return account.team.importance
-        pending.retry_after = account.wait(now, work)
+        client.retry_after = account.wait(now, work)
         return 0.0
 
-    def _turned(self, now: float) -> None:
-        """For whoever checks from outside, and nothing here that nobody asks for."""
+    def shown(self, now: float) -> list[str]:
+        """A line of each tenant's account, for operators."""
+        return [_account_line(now, name, account) for name, account in sorted(self.ledger.accounts.items())]
+
+    # -- contracts ---------------------------------------------------------------------------------------
+
+    def _remember(self, contracts: Contracts) -> None:
+        added = contracts.check()
+        self.known[added] = contracts
+        spare = [checksum for checksum in self.known if checksum not in (self.checksum, added)]
+        for checksum in spare[:-MAX_SPARE_CONTRACTS]:
+            del self.known[checksum]
+
+    def _find_contract_set(self, version: int) -> ContractSet | None:
+        """Contracts that a rollout brings: kept, but not in force for being newer."""
+        contracts = self.find_contracts(version)
+        if contracts is None or contracts.version != version:
+            return None
+        self.known[contracts.check()] = contracts
+        return self._contract_set(contracts)
+
+    def _contract_set(self, contracts: Contracts) -> ContractSet:
+        """What the coordinator leases: each budget without the parts that all nodes have for good."""
+        seats = self.member.seats
+        leased = [team.rate() - int(team.rate() * self.floor) // seats * seats for team in contracts.teams]
+        return ContractSet(
+            contracts.version,
+            contracts.check(),
+            tuple(team.name for team in contracts.teams),
+            tuple(leased),
+            lambda: contracts.begun(self.unix()),
+        )
+
+    def _planned_checksum(self, sections: PlanSections) -> int:
+        """Of the contracts that this node is to follow: those of a rollout once the plan names this node
+        among their followers, and the node has them."""
+        budgets = sections.get("budgets")
+        version, checksum = in_force(budgets)
+        new_version, new_checksum = beside(budgets)
+        if self._is_rolled_out_here(sections, new_checksum) and self._loads(new_version, new_checksum):
+            return new_checksum
+        if checksum and checksum not in self.known:
+            self._find_contract_set(version)
+        return checksum
+
+    def _is_rolled_out_here(self, sections: PlanSections, checksum: int) -> bool:
+        rollout = sections.get("stages") or {}
+        try:
+            return bool(
+                checksum
+                and rollout["kind"] == "contracts"
+                and self.member.seat in decode_ranges(rollout["new"])
+            )
+        except (KeyError, TypeError, ValueError):
+            return False
+
+    def _loads(self, version: int, checksum: int) -> bool:
+        if checksum not in self.known:
+            self._find_contract_set(version)
+        return checksum in self.known
+
+    def _team_numbers(self) -> dict[str, int]:
+        return {name: number for name, (number, _) in self.ledger.teams.items()}
+
+    # -- log lines ---------------------------------------------------------------------------------------
+
+    def _record_dropped_leases(self, now: float, contracts: Contracts | None) -> None:
+        """Leases of tenants without a new contract end here; a checker that sums leases has to know."""
+        kept = {team.name for team in contracts.teams} if contracts else ()
+        for name, account in self.ledger.accounts.items():
+            if name not in kept and account.holds(now):
+                self.member.host.event("part", team=account.number, check=self.checksum, part=0, left=0.0)
+
+    def _record_accounts(self, now: float) -> None:
         for name, account in self.ledger.accounts.items():
             account.fill(now)
-            self.seat.host.event(
+            self.member.host.event(
                 "account",
                 team=name,
-                check=self.check,
+                check=self.checksum,
                 began=account.began,
                 sums=[account.granted, account.free, account.reserved, account.settled, account.returned],
             )
-        if now >= self.logged_at + LOG_EVERY:
+        if now >= self.logged_at + LOG_INTERVAL_S:
             self.logged_at = now
-            self._log(now)
+            self._log_spending(now)
         self.ledger.idle(now)
 
-    def _log(self, now: float) -> None:
-        """Spending by team, those that spent or were turned away most."""
-        accounts = sorted(self.ledger.accounts.items(), key=lambda one: -one[1].settled - one[1].beyond)
-        for name, account in accounts[:MOST_LOGGED]:
-            self.seat.host.event(
+    def _log_spending(self, now: float) -> None:
+        for name, account in self._busiest_accounts():
+            self.member.host.event(
                 "spent",
                 team=name,
                 settled=round(account.settled, 3),
@@ -186,14 +247,21 @@
                 part=account.rate(now),
             )
 
-    def shown(self, now: float) -> list[str]:
-        """For operators, a team each."""
-        found = []
-        for name, account in sorted(self.ledger.accounts.items()):
-            account.fill(now)
-            found.append(
-                f"{name} part={account.rate(now):.3f} free={account.free:.2f} "
-                f"reserved={account.reserved:.2f} settled={account.settled:.2f} "
-                f"beyond={account.beyond:.2f}"
-            )
-        return found
+    def _busiest_accounts(self) -> Iterator[tuple[str, Account]]:
+        """Those that spent, or were rejected, most."""
+        accounts = self.ledger.accounts.items()
+        yield from sorted(accounts, key=_negative_activity)[:MAX_LOGGED_TENANTS]
+
+
+def _negative_activity(item: tuple[str, Account]) -> float:
+    _, account = item
+    return -account.settled - account.beyond
+
+
+def _account_line(now: float, name: str, account: Account) -> str:
+    account.fill(now)
+    return (
+        f"{name} part={account.rate(now):.3f} free={account.free:.2f} "
+        f"reserved={account.reserved:.2f} settled={account.settled:.2f} "
+        f"beyond={account.beyond:.2f}"
+    )
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -25,7 +25,7 @@
 
 
 def test_spending_by_team_is_in_the_log_each_minute(monkeypatch):
-    monkeypatch.setattr(quota_accounting, "LOG_EVERY", 2.0)
+    monkeypatch.setattr(quota_accounting, "LOG_INTERVAL_S", 2.0)
     fleet = purses.Fleet(Schedule(7, 4, [0, 1, 2], 9.0, settings={"length": 0.4}), [purses.contracts(1)[0]])
     told = fleet.run()
     lines = [(at, about) for at, _, _, what, about in fleet.world.history if what == "spent"]
