--- /dev/null
+++ b/firwalk/cluster/quota_client.py
@@ -0,0 +1,151 @@
+"""A node's side of quota leases: requests leases by demand, and uses them until they expire by its own clock.
+
+Rates are whole millionths of work per second; times are seconds on the own clock. No I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple, Protocol
+
+from firwalk.cluster.host import Host
+from firwalk.cluster.messages import MOST_ROWS, NOBODY, Ballot, QuotaGrant, QuotaRequest
+from firwalk.cluster.quota_contracts import QuotaPolicy
+
+REQUESTS_PER_LEASE = 4
+MAX_REQUEST_INTERVAL_S = 0.5
+MICRO = 1_000_000
+
+
+class Account(Protocol):
+    """A tenant's account at this node (`firwalk.broker.ledger.Account`)."""
+
+    number: int
+
+    def holds(self, now: float) -> int:
+        """What is leased now."""
+
+    def wants(self, now: float) -> float:
+        """The demand, in work per second."""
+
+    def leased(self, now: float, part: int, until: float) -> None:
+        """A lease of `part` is in force until then."""
+
+
+class Demand(NamedTuple):
+    """What is requested for one tenant, and what the node has."""
+
+    team: int
+    wanted: int
+    held: int
+
+
+class QuotaClient:
+    """Requests leases for all tenants with demand.
+
+    `terms`: the quota policy; `office`: the coordinator's term that this node knows of.
+    """
+
+    def __init__(self, host: Host, terms: QuotaPolicy, office: Callable[[], Ballot]) -> None:
+        self.host = host
+        self.terms = terms
+        self.office = office
+        self.purses: Callable[[], list[Account]] = list  # all accounts
+        self.turned: Callable[[float], None] = _ignore  # called after each request
+        self.mark = 0  # of the last request
+        self.check = 0  # of the contracts that this node follows; 0: none
+        self.ready = 0  # of the newest contracts that it has
+        self.pending: dict[int, float] = {}  # by mark: when the request was made
+        self.used_marks: dict[int, int] = {}  # by tenant: the request whose answer is in use
+        self.requested: dict[int, None] = {}  # tenants with demand or a lease at the last request
+        self.requested_office: Ballot = NOBODY
+        # A lease is in use for less time than it is granted for, by clocks that drift apart.
+        self.safe_length_s = terms.length * (1 - terms.drift) / (1 + terms.drift)
+
+    def start(self, now: float) -> None:
+        """Begins to request leases at regular times."""
+        self.host.set_timer(now, self._turn, None)
+
+    def _turn(self, now: float, _: None) -> None:
+        self.ask(now)
+        self.turned(now)
+        interval_s = min(self.terms.length / REQUESTS_PER_LEASE, MAX_REQUEST_INTERVAL_S)
+        self.host.set_timer(now + interval_s, self._turn, None)
+
+    def changed(self, check: int, renumbered: dict[int, int]) -> None:
+        """Other contracts are in force here. Tenants of the same name keep their leases; answers to requests
+        under the contracts before are ignored. `renumbered`: new numbers by the ones before."""
+        self.check = check
+        self.pending = {}
+        self.requested = {}
+        self.used_marks = {
+            renumbered[team]: mark for team, mark in self.used_marks.items() if team in renumbered
+        }
+
+    def ask(self, now: float) -> None:
+        """Requests leases now, for tenants with demand or a lease, or just without."""
+        self.pending = {mark: at for mark, at in self.pending.items() if at + self.safe_length_s > now}
+        demands = [self._demand(now, account) for account in self.purses()] if self.check else []
+        self._request(now, [one for one in demands if one.wanted or one.held or one.team in self.requested])
+
+    def _demand(self, now: float, account: Account) -> Demand:
+        return Demand(account.number, int(account.wants(now) * MICRO), account.holds(now))
+
+    def _request(self, now: float, demands: list[Demand]) -> None:
+        """Sends the demands; a request without any tells which contracts the node has."""
+        office = self.office()
+        if office == NOBODY:
+            return
+        if office != self.requested_office:
+            # A new coordinator is told all leases: no answer of the one before may add to them.
+            self.requested_office = office
+            self.pending = {}
+        first = self.mark + 1
+        last = self.mark + max(-(-len(demands) // MOST_ROWS), 1)
+        for start in range(0, len(demands) or 1, MOST_ROWS):
+            self.mark += 1
+            self.pending[self.mark] = now
+            rows = [self._row(demand) for demand in demands[start : start + MOST_ROWS]]
+            request = QuotaRequest(self.mark, self.check, self.ready, rows, first, last)
+            self.host.tell(office[1], request)
+
+    def _row(self, demand: Demand) -> tuple[int, int, int, int]:
+        """Without demand and lease all earlier requests are closed. An answer on its way would otherwise make
+        a lease that the coordinator does not know of any more."""
+        team, wanted, held = demand
+        self.requested[team] = None
+        if not wanted and not held:
+            del self.requested[team]
+            self.used_marks[team] = self.mark
+        return team, wanted, self.mark - self.used_marks.get(team, 0), held
+
+    def grant_came(self, now: float, sender: int, got: QuotaGrant) -> None:
+        """Uses the granted leases; they count from the request, and never replace a later answer."""
+        requested_at = self.pending.get(got.mark)
+        if requested_at is None or got.check != self.check:
+            return
+        if sender != self.requested_office[1] or self.office() != self.requested_office:
+            return
+        length_s = min(got.length / 1e3, self.terms.length)
+        until = requested_at + length_s / self.terms.length * self.safe_length_s
+        accounts = {account.number: account for account in self.purses()}
+        for team, part in got.rows:
+            account = accounts.get(team)
+            if account is not None and self.used_marks.get(team, 0) < got.mark and until > now:
+                self.used_marks[team] = got.mark
+                account.leased(now, part, until)
+                self.host.event("part", team=team, check=self.check, part=part, left=until - now)
+
+    def end(self, now: float) -> None:
+        """Hands all leases back, so that they are free for others at once."""
+        held = [account for account in self.purses() if account.holds(now)]
+        for account in held:
+            account.leased(now, 0, now)
+            self.host.event("part", team=account.number, check=self.check, part=0, left=0.0)
+        if held:
+            self._request(now, [Demand(account.number, 0, 0) for account in held])
+        self.pending = {}
+
+
+def _ignore(now: float) -> None:
+    """No one listens."""
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -8,7 +8,7 @@
 from firwalk.broker import ledger
 from firwalk.broker.contracts import Contracts, Team
 from firwalk.broker.ledger import Account, Ledger, Reservation
-from firwalk.cluster import quota_accounting, quotas
+from firwalk.cluster import quota_accounting, quota_book, quotas
 from firwalk.cluster.messages import Answer, Piece, Prepare, Propose, QuotaGrant, QuotaRequest
 from firwalk.cluster.quotas import ContractSet, QuotaAllocator, QuotaPolicy
 from firwalk.lab import purses
@@ -47,7 +47,7 @@
 
     def longer(self, *args):
         init(self, *args)
-        self.good *= 1.6
+        self.safe_length_s *= 1.6
 
     patch.setattr(quotas.QuotaClient, "__init__", longer)
 
@@ -62,14 +62,14 @@
 
 def half_of_the_seats_are_enough(patch):
     """A new coordinator deals anew as soon as half of the seats have told what they have."""
-    heard = QuotaAllocator._heard
+    heard = QuotaAllocator._count_turn
 
     def soon(self, seat, generation, got):
         heard(self, seat, generation, got)
-        if 2 * len(self.told) >= len(self.seats()):
+        if 2 * len(self.complete) >= len(self.seats()):
             self.renews_until = 0.0
 
-    patch.setattr(QuotaAllocator, "_heard", soon)
+    patch.setattr(QuotaAllocator, "_count_turn", soon)
 
 
 def coordinator_forgets_what_was_granted_before(patch):
@@ -84,7 +84,7 @@
 
 def answers_that_were_lost_count_no_more(patch):
     patch.setattr(
-        quotas.Held,
+        quota_book.HolderLeases,
         "live",
         lambda self, now: (
             self.grants[max(self.grants)][1] if self.grants and max(self.grants.values())[0] > now else 0
@@ -93,15 +93,15 @@
 
 
 def what_is_out_is_not_looked_at(patch):
-    patch.setattr(quotas.Book, "counted", lambda self, now, key, least: None)
+    patch.setattr(quota_book.QuotaBook, "count", lambda self, now, key, least_want: None)
 
 
 def time_counts_from_the_answer(patch):
     came = quotas.QuotaClient.grant_came
 
     def from_now(self, now, sender, got):
-        if got.mark in self.marks:
-            self.marks[got.mark] = now
+        if got.mark in self.pending:
+            self.pending[got.mark] = now
         came(self, now, sender, got)
 
     patch.setattr(quotas.QuotaClient, "grant_came", from_now)
@@ -134,14 +134,14 @@
 
 
 def both_wholes_are_let_out(patch):
-    take = QuotaAllocator._take
+    take = QuotaAllocator._use_contracts
 
     def summed(self, offer, beside):
         take(self, offer, beside)
         sides = [dict(zip(one.names, one.wholes, strict=True)) for one in self.sides.values()]
         self.wholes = {name: sum(side.get(name, 0) for side in sides) for name in self.wholes}
 
-    patch.setattr(QuotaAllocator, "_take", summed)
+    patch.setattr(QuotaAllocator, "_use_contracts", summed)
 
 
 def a_change_forgets_what_is_out(patch):
@@ -573,7 +573,7 @@
         pass
 
     def grants(self, now, mark, part=MILLION, sender=0):
-        self.holder.grant_came(now, sender, quotas.QuotaGrant(mark, 7, int(LENGTH * 1e3), [(0, part)]))
+        self.holder.grant_came(now, sender, QuotaGrant(mark, 7, int(LENGTH * 1e3), [(0, part)]))
         return self.account.holds(now)
 
 
@@ -599,7 +599,7 @@
 
 def older_answers(holder, now, sender, got):
     """A broken holder: takes whatever arrives last."""
-    holder.acts_on = {}
+    holder.used_marks = {}
     return quotas.QuotaClient.grant_came(holder, now, sender, got)
 
 
@@ -607,7 +607,7 @@
     asked.account.wanted(1.0, 3.0)
     asked.holder.ask(1.2)
     assert asked.grants(1.3, 2, 5) == 5
-    older_answers(asked.holder, 1.3, 0, quotas.QuotaGrant(1, 7, int(LENGTH * 1e3), [(0, MILLION)]))
+    older_answers(asked.holder, 1.3, 0, QuotaGrant(1, 7, int(LENGTH * 1e3), [(0, MILLION)]))
     assert asked.account.holds(1.3) != 5
 
 
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -173,7 +173,7 @@
 
     def longer(self, *args):
         real(self, *args)
-        self.good *= 4.0
+        self.safe_length_s *= 4.0
 
     QuotaClient.__init__ = longer
 
