--- /dev/null
+++ b/firwalk/cluster/rollout_report.py
@@ -0,0 +1,88 @@
+"""What operators read of a rollout: its stages before it starts, and the figures of a comparison."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from firwalk.cluster.canary_analysis import ALL, CanaryAnalysis, Key, Verdict
+from firwalk.cluster.node_id_ranges import encode_ranges
+
+LAST_PAGE = "end"
+MAX_FIGURES_PER_STAGE = 2  # that the plan keeps, the worst ones
+MAX_FIGURES = 24  # of all stages
+
+PlanRow = list[int | float | str]  # stage, figure, request class, new, old, counts, verdict
+
+
+class Figure(NamedTuple):
+    """One figure of a comparison: the means of both versions, and the number of requests behind each."""
+
+    key: Key
+    new: float
+    old: float
+    new_count: float
+    old_count: float
+    verdict: Verdict
+    evidence: float
+
+    def plan_row(self, stage: int) -> PlanRow:
+        """As the plan keeps it."""
+        means = [round(self.new, 4), round(self.old, 4)]
+        return [stage, *self.key, *means, int(self.new_count), int(self.old_count), int(self.verdict)]
+
+    def rank(self) -> tuple[bool, float]:
+        """The worst first."""
+        return self.verdict is not Verdict.WORSE, -self.evidence
+
+    def line(self) -> str:
+        """For an operator."""
+        name, request_class = self.key
+        return (
+            f"{name} {request_class or ALL} {self.new:.4f} {self.old:.4f} "
+            f"{self.new_count:.0f} {self.old_count:.0f} {self.verdict.name.lower()}"
+        )
+
+
+def figures(analysis: CanaryAnalysis) -> Iterator[Figure]:
+    """All figures of a comparison, in order."""
+    for key in sorted(analysis.zones):
+        yield _figure(analysis, key)
+
+
+def _figure(analysis: CanaryAnalysis, key: Key) -> Figure:
+    shown = analysis.shown(key)
+    verdict = analysis.verdict(key)
+    return Figure(key, *shown, verdict, analysis.evidence(key)[0])
+
+
+def worst_rows(found: list[Figure], stage: int) -> list[PlanRow]:
+    """The worst figures of a stage, as the plan keeps them."""
+    ranked = sorted((figure.rank(), figure.plan_row(stage)) for figure in found)
+    return [row for _, row in ranked[:MAX_FIGURES_PER_STAGE]]
+
+
+def figure_page(analysis: CanaryAnalysis, number: int) -> str:
+    """One figure of the comparison as a line."""
+    keys = sorted(analysis.zones)
+    return _figure(analysis, keys[number]).line() if number < len(keys) else LAST_PAGE
+
+
+def stage_page(stages: list[list[int]], up: list[int], zone_of: dict[int, int], number: int) -> str:
+    """One line of a dry run: each stage, then the nodes that are alone in their zones."""
+    lines = []
+    before: list[int] = []
+    for stage_number, stage in enumerate(stages, 1):
+        added = encode_ranges([seat for seat in stage if seat not in before])
+        lines.append(f"stage {stage_number} of {len(stages)}: {len(stage)} nodes, new are {added}")
+        before = stage
+    alone = [seat for seat in up if not _peers(seat, up, zone_of)]
+    if alone:
+        lines.append(
+            f"seats {encode_ranges(alone)} are alone in their zones: nobody is beside them while they go over"
+        )
+    return lines[number] if number < len(lines) else LAST_PAGE
+
+
+def _peers(seat: int, up: list[int], zone_of: dict[int, int]) -> list[int]:
+    return [other for other in up if other != seat and zone_of[other] == zone_of[seat]]
--- /dev/null
+++ b/firwalk/cluster/rollout_stages.py
@@ -0,0 +1,104 @@
+"""Which nodes go over in which stage and batch of a rollout."""
+
+from __future__ import annotations
+
+from math import ceil
+
+from firwalk.cluster.node_id_ranges import encode_ranges
+
+StageSpec = str | int | float | list[int]  # as in a rollout file
+
+
+class UnknownStageTarget(Exception):
+    """A stage names a zone or a node that there is not."""
+
+
+def node_order(zone_of: dict[int, int], voters: list[int]) -> tuple[list[int], list[int]]:
+    """Nodes in the order in which they go over, zones by turns and acceptors of the lease last; and the
+    controls, one of each zone, which go last of all."""
+    zones: dict[int, list[int]] = {}
+    for seat in sorted(zone_of, key=lambda seat: (seat in voters, seat)):
+        zones.setdefault(zone_of[seat], []).append(seat)
+    # The largest zones begin: there the first node has most to be compared with.
+    queues = sorted(zones.values(), key=lambda seats: (-len(seats), seats[0]))
+    controls = [seats.pop() for seats in queues]
+    order: list[int] = []
+    for place in range(max(map(len, queues), default=0)):
+        order += [seats[place] for seats in queues if place < len(seats)]
+    return order, controls
+
+
+def stage_nodes(
+    stages: list[StageSpec], zone_of: dict[int, int], voters: list[int], zone_names: tuple[str, ...]
+) -> list[list[int]]:
+    """The nodes of each stage, those before included; a stage that adds no node is left out.
+
+    Raises `UnknownStageTarget`.
+    """
+    order, controls = node_order(zone_of, voters)
+    found: list[list[int]] = []
+    taken: list[int] = []
+    for stage in stages:
+        targets = _targets(stage, order, zone_of, zone_names)
+        added = [seat for seat in targets if seat not in taken]
+        if added:
+            taken = taken + added
+            found.append(list(taken))
+    last = [seat for seat in controls if seat not in taken]
+    return [*found, taken + last] if last else found
+
+
+def _targets(
+    stage: StageSpec, order: list[int], zone_of: dict[int, int], zone_names: tuple[str, ...]
+) -> list[int]:
+    if stage == "all":
+        return order
+    if stage == "one":
+        return order[:1]
+    if stage == "zone":
+        return [seat for seat in order if zone_of[seat] == zone_of[order[0]]] if order else []
+    if isinstance(stage, str):
+        return _nodes_of_zone(stage.removeprefix("zone:"), order, zone_of, zone_names)
+    if isinstance(stage, list):
+        unknown = [seat for seat in stage if seat not in zone_of]
+        if unknown:
+            raise UnknownStageTarget(f"there is no seat {encode_ranges(unknown)}")
+        return stage
+    count = ceil(stage * len(zone_of)) if isinstance(stage, float) else stage
+    return order[:count]
+
+
+def _nodes_of_zone(
+    name: str, order: list[int], zone_of: dict[int, int], zone_names: tuple[str, ...]
+) -> list[int]:
+    if name not in zone_names:
+        raise UnknownStageTarget(f"there is no zone {name}")
+    return [seat for seat in order if zone_of[seat] == zone_names.index(name)]
+
+
+def choose_batch(
+    left: list[int], up: list[int], max_ratio: float, zone_of: dict[int, int], voters: list[int]
+) -> list[int]:
+    """The next nodes of `left` to go over together: of one zone, at most `max_ratio` of its nodes that are up
+    and one acceptor of the lease. A node that is alone in its zone does not go over, unless all zones have
+    one node or all may go at once."""
+    has_shared_zones = len(set(zone_of.values())) < len(zone_of)
+    for seat in left:
+        zone = zone_of[seat]
+        peers = [other for other in up if zone_of[other] == zone]
+        if max_ratio < 1.0 and len(peers) < 2 and has_shared_zones:
+            continue
+        max_nodes = max(int(max_ratio * len(peers)), 1)
+        return _fill_batch([other for other in left if zone_of[other] == zone], max_nodes, voters)
+    return []
+
+
+def _fill_batch(candidates: list[int], max_nodes: int, voters: list[int]) -> list[int]:
+    batch: list[int] = []
+    has_voter = False
+    for seat in candidates:
+        is_voter = seat in voters
+        if len(batch) < max_nodes and not (is_voter and has_voter):
+            batch.append(seat)
+            has_voter = has_voter or is_voter
+    return batch
--- /dev/null
+++ b/firwalk/cluster/rollout_state.py
@@ -0,0 +1,153 @@
+"""The state of a rollout: its section of the plan, the nodes that it changes, and the orders to them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from firwalk.cluster.messages import RolloutMetrics
+from firwalk.cluster.node_id_ranges import decode_ranges, encode_ranges
+from firwalk.cluster.rollout_nodes import ReportingNodes
+from firwalk.cluster.rollout_policy import FileLookup, RolloutFile, RolloutPolicy
+from firwalk.cluster.rollout_section import BACK, GOING, HELD, RolloutSection, decode_zones
+from firwalk.cluster.rollout_stages import StageSpec, choose_batch, stage_nodes
+
+MAX_REPORT_AGE = 4.0  # report intervals
+MIN_REPORT_AGE_S = 1.0
+IDLE_AGE_FACTOR = 8.0  # nodes report less often while no rollout is under way
+CHANGEOVER_TIMEOUT_S = 20.0  # for a node to go over, before the stage is held for it
+MAX_SETTLE_S = 1.0  # of nodes that are no acceptors of the lease
+MAX_DOWN_RATIO = 0.5  # of a zone's nodes: with more down, nothing is changed anywhere
+
+
+def ignore_event(what: str, **about: object) -> None:
+    """No log."""
+
+
+class RolloutState:
+    """`section`: what the plan says of the rollout, {} before the first one; it is replaced and never
+    changed, since the plan keeps it. `named`: finds a rollout file."""
+
+    def __init__(
+        self,
+        terms: RolloutPolicy,
+        voters: list[int],
+        seats: int,
+        named: FileLookup,
+        event: Callable[..., None] = ignore_event,
+    ) -> None:
+        self.terms = terms
+        self.voters = voters
+        self.seats = seats
+        self.named = named
+        self.event = event
+        self.section: RolloutSection = {}
+        self.nodes = ReportingNodes()
+        self.stages: list[list[int]] = []
+        self.ordered_at: dict[int, float] = {}  # by node, when the plan named it, or named it no more
+
+    def figures_came(self, now: float, seat: int, generation: int, got: RolloutMetrics) -> None:
+        """A node's report."""
+        self.nodes.receive(now, seat, generation, got)
+
+    # -- the nodes -----------------------------------------------------------------------------------------
+
+    def _is_active(self) -> bool:
+        return self.section.get("state") in (GOING, HELD, BACK)
+
+    def _new_nodes(self) -> list[int]:
+        """Nodes that the plan names for the new version."""
+        return decode_ranges(self.section["new"])
+
+    def _zones(self) -> dict[int, int]:
+        letters = self.section["zones"] if self._is_active() else self.nodes.zone_letters(self.seats)
+        return decode_zones(letters)
+
+    def _is_fresh(self, now: float, seat: int) -> bool:
+        max_age_s = max(MAX_REPORT_AGE * self.terms.report, MIN_REPORT_AGE_S)
+        return self.nodes.is_fresh(now, seat, max_age_s * (1.0 if self._is_active() else IDLE_AGE_FACTOR))
+
+    def _runs_old(self, now: float, seat: int) -> bool:
+        section = self.section
+        return self._is_fresh(now, seat) and self.nodes.runs(seat, section["kind"], section["before"])
+
+    def _settled(self, now: float, seat: int) -> bool:
+        """Whether it reports from the new version for long enough: a restarted acceptor is silent for a
+        while."""
+        wait_s = self.terms.settle if seat in self.voters else min(self.terms.settle, MAX_SETTLE_S)
+        section = self.section
+        if not self._is_fresh(now, seat) or not self.nodes.runs(seat, section["kind"], section["what"]):
+            return False
+        return now >= self.nodes.metrics[seat].since + wait_s
+
+    def _down_zone(self, up: list[int]) -> str:
+        zone_of = self._zones()
+        for zone in sorted(set(zone_of.values())):
+            nodes = [seat for seat in zone_of if zone_of[seat] == zone]
+            down = [seat for seat in nodes if seat not in up]
+            if len(down) > MAX_DOWN_RATIO * len(nodes):
+                name = self.terms.names[zone] if zone < len(self.terms.names) else str(zone)
+                return f"most nodes of zone {name} are down"
+        return ""
+
+    def _late_nodes(self, now: float, new: list[int]) -> str:
+        late = [
+            seat
+            for seat in new
+            if now >= self.ordered_at.get(seat, now) + CHANGEOVER_TIMEOUT_S and not self._settled(now, seat)
+        ]
+        return f"seats {encode_ranges(late)} do not go over" if late else ""
+
+    # -- stages and orders ---------------------------------------------------------------------------------
+
+    def _stages_of(self, change: RolloutFile) -> list[list[int]]:
+        specs: list[StageSpec] = change.stages
+        return stage_nodes(specs, self._zones(), self.voters, self.terms.names)
+
+    def _stage(self) -> list[int]:
+        """The nodes of the stage that is under way."""
+        return self.stages[min(self.section["stage"], len(self.stages) - 1)]
+
+    def _stage_before(self) -> list[int]:
+        """The nodes of the stage before that, none at the first one."""
+        return self.stages[self.section["stage"] - 1] if self.section["stage"] else []
+
+    def _batch(self, left: list[int], up: list[int], max_ratio: float) -> list[int]:
+        return choose_batch(left, up, max_ratio, self._zones(), self.voters)
+
+    def _order(self, now: float, seats: list[int]) -> None:
+        """These nodes are to be on the new version, all others on the old one."""
+        before = self._new_nodes()
+        added = [seat for seat in seats if seat not in before]
+        removed = [seat for seat in before if seat not in seats]
+        if added or removed:
+            self.ordered_at |= dict.fromkeys(added + removed, now)
+            self.section = {**self.section, "new": encode_ranges(seats)}
+            self._record_state()
+
+    def _enter(self, state: str, why: str = "", by: str = "") -> None:
+        if (state, why) != (self.section["state"], self.section["why"]) or state == GOING:
+            self.section = {**self.section, "state": state, "why": why, "by": by}
+            self._record_state()
+
+    def _record_state(self) -> None:
+        section = self.section
+        self.event(
+            "stage",
+            number=section["number"],
+            name=section["name"],
+            state=section["state"],
+            stage=section["stage"],
+            of=section["of"],
+            new=section["new"],
+            brings=section["what"],
+            before=section["before"],
+            kind=section["kind"],
+            why=section["why"],
+            most=self._max_new_nodes(),
+        )
+
+    def _max_new_nodes(self) -> int:
+        """Nodes that the stage allows."""
+        if not self.stages or self.section["state"] not in (GOING, HELD):
+            return len(self._new_nodes())
+        return len(self._stage())
--- a/firwalk/lab/rolls.py
+++ b/firwalk/lab/rolls.py
@@ -110,9 +110,9 @@
             lambda name: self._named(seat, name),
         )
         if part.roll is not None and self.way != WAYS[0]:
-            part.roll._worse = lambda now, new: ""  # nobody looks
-            part.roll.comparison = Passed(part.roll.comparison.worse, 1)
-            part.roll._compare_anew = lambda: _passing(part.roll)
+            part.roll._find_harm = lambda now, new: ""  # nobody looks
+            part.roll.comparison.stage = Passed(part.roll.comparison.stage.worse, 1)
+            part.roll._restart_comparison = lambda: _passing(part.roll)
             if self.way == WAYS[2]:
                 part.roll._batch = lambda left, up, part: list(left)
         world = getattr(self, "world", None)
@@ -244,8 +244,8 @@
 
 
 def _passing(roll: Any) -> None:
-    roll.stage_at, roll.leaks = None, {}
-    roll.comparison = Passed(roll.change.compare.worse(), 1)
+    roll.stage_complete_at = None
+    roll.comparison.stage = Passed(roll.change.compare.worse(), 1)
 
 
 @dataclass
--- a/tests/cluster/test_stages.py
+++ b/tests/cluster/test_stages.py
@@ -30,7 +30,8 @@
     Verdict,
 )
 from firwalk.cluster.node_id_ranges import decode_ranges, encode_ranges
-from firwalk.cluster.rollout import Rollout, RolloutPolicy, in_turn, sets
+from firwalk.cluster.rollout import Rollout, RolloutPolicy
+from firwalk.cluster.rollout_stages import UnknownStageTarget, node_order, stage_nodes
 from firwalk.config import rollout_file
 from firwalk.lab.rolls import CHANGE, CHECK, KINDS, REPLACE, Fleet, Version
 from firwalk.lab.virtual import Fault
@@ -57,24 +58,24 @@
 
 def test_zones_go_by_turns_voters_late_and_one_of_each_zone_is_a_control():
     zone_of = {seat: seat % 3 for seat in range(12)}
-    order, controls = in_turn(zone_of, [0, 4, 8])
+    order, controls = node_order(zone_of, [0, 4, 8])
     assert sorted(order + controls) == list(range(12))
     assert sorted(controls) == [0, 4, 8] and sorted(zone_of[seat] for seat in order[:3]) == [0, 1, 2]
 
 
 def test_stages_hold_those_before_and_the_controls_come_last():
     zone_of = {seat: seat % 3 for seat in range(40)}
-    found = sets(["one", 0.1, "zone", 0.5, "all"], zone_of, [0, 13, 26], ("a", "b", "c"))
+    found = stage_nodes(["one", 0.1, "zone", 0.5, "all"], zone_of, [0, 13, 26], ("a", "b", "c"))
     sizes = [len(stage) for stage in found]
     assert sizes[0] == 1 and sizes[1] == 4 and sizes == sorted(sizes) and sizes[-2:] == [37, 40]
     assert all(set(a) <= set(b) for a, b in zip(found, found[1:], strict=False))
     assert {zone_of[seat] for seat in found[-2]} == {0, 1, 2}
     assert set(range(40)) - set(found[-2]) == {0, 13, 26}
-    named = sets([[5, 6], "zone:b", "all"], zone_of, [], ("a", "b", "c"))
+    named = stage_nodes([[5, 6], "zone:b", "all"], zone_of, [], ("a", "b", "c"))
     assert named[0] == [5, 6] and {zone_of[seat] for seat in named[1]} == {zone_of[5], zone_of[6], 1}
     for stages, words in ((["zone:x", "all"], "no zone x"), ([[99], "all"], "no seat 99")):
-        with pytest.raises(ValueError, match=words):
-            sets(stages, zone_of, [], ("a", "b", "c"))
+        with pytest.raises(UnknownStageTarget, match=words):
+            stage_nodes(stages, zone_of, [], ("a", "b", "c"))
 
 
 # -- a change goes, or comes back ----------------------------------------------------------------------------
@@ -136,7 +137,7 @@
 @pytest.mark.parametrize("stage", [1, 2, 3, 4])
 def test_a_harm_that_shows_at_a_later_stage_stops_it_there(kind, stage):
     """The nodes that join at that stage are harmed, none before."""
-    found = sets(CHANGE.stages, {seat: seat % 3 for seat in range(12)}, [0, 5, 10], ("a", "b", "c"))
+    found = stage_nodes(CHANGE.stages, {seat: seat % 3 for seat in range(12)}, [0, 5, 10], ("a", "b", "c"))
     joins = tuple(seat for seat in found[stage] if seat not in found[stage - 1])
     bad = KINDS[kind] if kind != "crash" else Version(breaks=1.0)
     fleet = Fleet(new=dataclasses.replace(bad, on=joins), rate=12.0).started()
@@ -244,7 +245,7 @@
 
 def test_a_node_that_does_not_go_over_holds_the_stage_and_no_more():
     fleet = Fleet()
-    order, _ = in_turn({seat: seat % 3 for seat in range(12)}, fleet.world.schedule.voters)
+    order, _ = node_order({seat: seat % 3 for seat in range(12)}, fleet.world.schedule.voters)
     fleet._agent = lambda seat, process: None if seat == order[0] else Fleet._agent(fleet, seat, process)
     fleet.started()
     assert fleet.until("held", "done", "stopped") == "held"
@@ -291,7 +292,7 @@
         roll.figures_came(1.0, seat, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
     assert roll.start(1.0, "c", CHECK, [0, 1, 2]) == ""
     for _ in range(30):
-        roll.comparison = compared((400, 40, 4.0), (400, 2, 4.0))
+        roll.comparison.stage = compared((400, 40, 4.0), (400, 2, 4.0))
         roll._report()
     assert len(roll.section["report"]) == 24 and len(json.dumps(roll.section)) < 2000
 
@@ -320,8 +321,8 @@
     for part in fleet.made.values():
         part.contracts_version = lambda: 7
     fleet.world.run(14.0 + 2.5 * RolloutPolicy().report)
-    told = fleet.made[coordinator].roll.told
-    assert {seat: one.contracts for seat, one in told.items()} == dict.fromkeys(range(12), 7)
+    told = fleet.made[coordinator].roll.nodes.metrics
+    assert {seat: one.version.contracts for seat, one in told.items()} == dict.fromkeys(range(12), 7)
 
 
 def test_the_dry_run_tells_each_stage_and_who_is_alone():
@@ -546,9 +547,9 @@
     for at, tasks in ((0.0, 100), (100.0, 150), (310.0, 400), (700.0, 1000), (710.0, 1010)):
         row = (1, tasks, 0, 0, 0, 0, tasks, 0, 0, 0)
         roll.figures_came(at, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [row]))
-    assert [one.tasks for one in roll.told[0].past()] == [610]
+    assert [one.tasks for one in roll.nodes.metrics[0].past()] == [610]
     roll.figures_came(720.0, 0, 6, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [(1, 5, *[0] * 8)]))
-    assert [one.tasks for one in roll.told[0].past()] == [0]
+    assert [one.tasks for one in roll.nodes.metrics[0].past()] == [0]
 
 
 def takes_the_larger_evidence(patch):
