--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -334,12 +334,12 @@
     def _wish_came(self, now: float, seat: int, got: m.OperatorCommand) -> None:
         if self.coordinates(now):
             granted, text = self._grant(now, got.word, got.zone)
-            self.host.tell(seat, m.CommandResult(got.number, granted, text[: m.MOST_TEXT]))
+            self.host.tell(seat, m.CommandResult(got.number, granted, text[: m.MAX_RESULT_CHARS]))
 
     def _word_came(self, now: float, seat: int, got: m.RolloutCommand) -> None:
         if self.coordinates(now) and self.changing is not None:
             done, text = self.changing.word_came(now, seat, got)
-            self.host.tell(seat, m.CommandResult(got.number, done, text[: m.MOST_TEXT]))
+            self.host.tell(seat, m.CommandResult(got.number, done, text[: m.MAX_RESULT_CHARS]))
 
     def _figures_came(self, now: float, seat: int, generation: int, got: m.RolloutMetrics) -> None:
         if self.changing is not None:
--- a/firwalk/cluster/members.py
+++ b/firwalk/cluster/members.py
@@ -13,7 +13,16 @@
 from math import ceil, log, log10
 
 from firwalk.cluster.host import Host, State
-from firwalk.cluster.messages import MOST_NEWS, NOBODY, Ack, Ballot, MembershipUpdate, Nack, Ping, PingRequest
+from firwalk.cluster.messages import (
+    MAX_UPDATES,
+    NOBODY,
+    Ack,
+    Ballot,
+    MembershipUpdate,
+    Nack,
+    Ping,
+    PingRequest,
+)
 from firwalk.cluster.random_source import RandomSource
 
 HELPERS = 3  # others that are asked to ask one that does not answer
@@ -306,15 +315,15 @@
         """What it is thought of the other one itself first, then the freshest, then the table in turn."""
         chosen = {to: None} if to.met and to is not self.me else {}
         for member in sorted(self.fresh, key=self.fresh.__getitem__, reverse=True):
-            if len(chosen) >= MOST_NEWS:
+            if len(chosen) >= MAX_UPDATES:
                 break
             if member is not to:
                 chosen[member] = None
                 self.fresh[member] -= 1
                 if self.fresh[member] <= 0:
                     del self.fresh[member]
-        for _ in range(min(len(self.all), MOST_NEWS)):
-            if len(chosen) >= MOST_NEWS // 2:
+        for _ in range(min(len(self.all), MAX_UPDATES)):
+            if len(chosen) >= MAX_UPDATES // 2:
                 break
             self.entry = (self.entry + 1) % len(self.all)
             if self.all[self.entry].met:
--- a/firwalk/cluster/messages.py
+++ b/firwalk/cluster/messages.py
@@ -1,58 +1,122 @@
-"""What nodes tell one another about the cluster, as bytes: at most 256 a datagram.
+"""Messages between cluster members and their datagram codec.
 
-A head of 15 bytes (version, the fleet's name as a CRC, the sender's seat, life and incarnation), then one
-message in MessagePack (https://github.com/msgpack/msgpack/blob/master/spec.md): an array of a tag and the
-fields in order. A newer version adds fields at the end, and those are passed over here.
+A datagram is at most `LONGEST` bytes: a header (protocol version, checksum of the cluster's name, and the
+sender's node id, generation and incarnation), then one message in MessagePack
+(https://github.com/msgpack/msgpack/blob/master/spec.md), an array of a type tag and the fields in order.
+A newer version only appends fields, and the decoder ignores those it does not know.
 """
 
 from __future__ import annotations
 
-from struct import Struct as Layout
-from typing import Annotated
+import struct
+from typing import Annotated, NamedTuple
 from zlib import crc32
 
 import msgspec
 from msgspec import Meta, Struct
 
 VERSION = 1
-LONGEST = 256  # bytes of a datagram
-HEAD = Layout(">BIHII")
-MOST_NEWS = 16  # entries beside one message
-MOST_PIECES = 62  # of a plan: a mask of them is a whole number of 64 bits
-MOST_TEXT = 180  # letters of what is said to an operator
-MOST_ZONES = 8  # that are told of
-MOST_ROWS = 8  # teams in one question for parts of budgets
-MOST_COUNTED = 3  # offerings in one message of figures
-MOST_NAME = 40  # letters of a change's name
-PIECE = 176  # bytes of a plan in one of them
+LONGEST = 256  # bytes of a datagram: never fragmented by IP
+HEADER = struct.Struct(">BIHII")
+MAX_UPDATES = 16  # membership updates in one message
+MEMBERSHIP_UPDATE_BYTES = 16  # upper estimate of one encoded update
+MAX_PIECES = 62  # of a plan: a mask of them fits a signed 64-bit integer
+MAX_RESULT_CHARS = 180  # of a command's result
+MOST_ZONES = 8
+MOST_ROWS = 8  # tenants in one quota request
+MOST_COUNTED = 3  # request classes in one message of rollout metrics
+MAX_ROLLOUT_NAME_CHARS = 40
+PIECE_BYTES = 176  # of a plan in one piece
 
 NodeId = Annotated[int, Meta(ge=0, le=65535)]
 Count = Annotated[int, Meta(ge=0, le=2**48)]
 Generation = Annotated[int, Meta(ge=0, le=2**32 - 1)]
-State = Annotated[int, Meta(ge=0, le=3)]
+Checksum = Annotated[int, Meta(ge=0, le=2**32 - 1)]  # CRC-32
+StateCode = Annotated[int, Meta(ge=0, le=3)]
+PieceMask = Annotated[int, Meta(ge=0, lt=2**62)]
+UInt16 = Annotated[int, Meta(ge=0, le=65535)]
+UInt32 = Annotated[int, Meta(ge=0, le=2**32 - 1)]
+MicroRate = Annotated[int, Meta(ge=0, le=2**48)]  # millionths of work per second
 Ballot = tuple[Count, NodeId, Generation]  # compared in this order
-MembershipUpdate = tuple[NodeId, Count, Generation, State]  # a seat, its incarnation, its life, how it is
 NOBODY: Ballot = (0, 0, 0)
 
 
+class MembershipUpdate(NamedTuple):
+    """What one node knows of a member; `state` is a `firwalk.cluster.host.State`."""
+
+    node_id: NodeId
+    incarnation: Count
+    generation: Generation
+    state: StateCode
+
+
+class ZoneObservation(NamedTuple):
+    """Counts of one zone since the last report; capacity in thousandths of work per second."""
+
+    zone: UInt16
+    attempted: UInt16
+    without_executor: UInt16
+    failed: UInt16
+    median_start_ms: UInt32
+    capacity: UInt32
+
+
+class QuotaRequestRow(NamedTuple):
+    """One tenant's demand.
+
+    `answered_marks_ago` tells which earlier question's answer is in effect: 0 means that none is any more.
+    """
+
+    tenant: UInt16
+    wanted: MicroRate
+    answered_marks_ago: Count
+    granted: MicroRate
+
+
+class QuotaGrantRow(NamedTuple):
+    """The part of one tenant's quota that the receiver may spend."""
+
+    tenant: UInt16
+    granted: MicroRate
+
+
+class RolloutMetricsRow(NamedTuple):
+    """Counts of one request class since the sender started; latencies are logarithms of milliseconds."""
+
+    class_checksum: Checksum
+    requests: Count
+    late: Count
+    failed: Count
+    rejected: Count
+    errors: Count
+    attempts: Count
+    completed: Count
+    log_latency_sum_thousandths: Count
+    log_latency_square_sum_thousandths: Count
+
+
 class MalformedMessage(Exception):
-    """Bytes that are no message of this fleet and version; the text is a word for the count of such."""
+    """Bytes that are no message of this cluster and version; the text is the counter's name."""
 
 
 class Ping(Struct, array_like=True, tag=1):
+    """A liveness question; `office` is the newest leader's term that the sender knows of."""
+
     number: Count
-    office: Ballot = NOBODY  # the term of the newest coordinator that the sender knows of
+    office: Ballot = NOBODY
     news: list[MembershipUpdate] = []
 
 
 class Ack(Struct, array_like=True, tag=2):
+    """The answer to the `Ping` of that number."""
+
     number: Count
     office: Ballot = NOBODY
     news: list[MembershipUpdate] = []
 
 
 class PingRequest(Struct, array_like=True, tag=3):
-    """Ask `seat` for me whether it is there."""
+    """Asks the receiver to ping `seat` (a node id) on the sender's behalf."""
 
     number: Count
     seat: NodeId
@@ -60,31 +124,33 @@
 
 
 class Nack(Struct, array_like=True, tag=4):
-    """The one that you had me ask has not answered so far; I am there."""
+    """The target of the `PingRequest` has not answered so far, though the sender itself is up."""
 
     number: Count
 
 
 class Prepare(Struct, array_like=True, tag=5):
+    """A proposer asks for promises to its ballot."""
+
     ballot: Ballot
 
 
 class Promise(Struct, array_like=True, tag=6):
-    """`accepted`: the ballot that holds at the voter now, if one does."""
+    """`accepted`: the ballot whose lease is in force at the acceptor, if there is one."""
 
     ballot: Ballot
     accepted: Ballot | None = None
 
 
 class Refuse(Struct, array_like=True, tag=7):
-    """`highest`: the highest ballot that the voter has met."""
+    """`highest`: the highest ballot that the acceptor has seen."""
 
     ballot: Ballot
     highest: Ballot
 
 
 class Propose(Struct, array_like=True, tag=8):
-    """`life`: the voter's, as its promise had it; `length` in milliseconds."""
+    """`length`: of the lease, in milliseconds; `generation`: the acceptor's, as its promise carried it."""
 
     ballot: Ballot
     length: Count
@@ -92,26 +158,33 @@
 
 
 class Accept(Struct, array_like=True, tag=9):
+    """The acceptor grants the lease to the ballot."""
+
     ballot: Ballot
 
 
 class Release(Struct, array_like=True, tag=10):
+    """The leader returns the lease of this ballot early."""
+
     ballot: Ballot
 
 
 class Report(Struct, array_like=True, tag=11):
-    """What the sender follows, and which pieces it has of the plan that it puts together."""
+    """The plan that the sender follows, and which pieces of the next one it has received.
+
+    `mark` numbers the question, so that the answer can be dated from when it was sent.
+    """
 
     mark: Count
     term: Ballot
     version: Count
     next_term: Ballot = NOBODY
     next_version: Count = 0
-    pieces: Annotated[int, Meta(ge=0, lt=2**62)] = 0
+    pieces: PieceMask = 0
 
 
 class Answer(Struct, array_like=True, tag=12):
-    """From the coordinator: the plan that is in force, at some time after the mark was made."""
+    """From the leader: the plan in force at some time after the question `mark` was sent."""
 
     mark: Count
     term: Ballot
@@ -119,104 +192,103 @@
 
 
 class Piece(Struct, array_like=True, tag=13):
+    """One piece of an encoded plan; `check` is the checksum of all pieces together."""
+
     term: Ballot
     version: Count
-    number: Annotated[int, Meta(ge=0, lt=MOST_PIECES)]
-    count: Annotated[int, Meta(ge=1, le=MOST_PIECES)]
-    check: Generation  # CRC of the whole
-    data: Annotated[bytes, Meta(max_length=PIECE)]
+    number: Annotated[int, Meta(ge=0, lt=MAX_PIECES)]
+    count: Annotated[int, Meta(ge=1, le=MAX_PIECES)]
+    check: Checksum
+    data: Annotated[bytes, Meta(max_length=PIECE_BYTES)]
 
 
 class Fetch(Struct, array_like=True, tag=14):
-    """A new coordinator wants the plan that the other one follows."""
+    """A new leader asks for the plan that the receiver follows."""
 
     term: Ballot
     version: Count
 
 
-Small = Annotated[int, Meta(ge=0, le=65535)]
-Amount = Annotated[int, Meta(ge=0, le=2**32 - 1)]
-
-
 class HealthObservations(Struct, array_like=True, tag=15):
-    """What the sender met in each zone since it told last: (zone, tried, found nobody, erred, median start in
-    milliseconds, work a second that it bears in thousandths). `asks`: its clients' work, in thousandths.
-    `early`: out of turn, and told once more with the next report."""
+    """What the sender observed of each zone since its last report.
+
+    `asks` is its clients' demand, in thousandths of work per second. An `early` report comes out of turn, and
+    its observations are repeated in the next regular one.
+    """
 
-    zone: Small
-    asks: Amount
-    views: Annotated[list[tuple[Small, Small, Small, Small, Amount, Amount]], Meta(max_length=MOST_ZONES)]
+    zone: UInt16
+    asks: UInt32
+    views: Annotated[list[ZoneObservation], Meta(max_length=MOST_ZONES)]
     early: bool = False
 
 
 class OperatorCommand(Struct, array_like=True, tag=16):
-    """An operator's, from any node to the coordinator: `word` is drain, restore or dry."""
+    """An operator's command on a zone, from any node to the leader: `word` is drain, restore or dry."""
 
     number: Count
     word: Annotated[str, Meta(max_length=8)]
-    zone: Small
+    zone: UInt16
 
 
 class CommandResult(Struct, array_like=True, tag=17):
-    """What the coordinator says to a wish; `done` false: with the reason why not."""
+    """The leader's answer to a command; `text` is the reason when it was not carried out."""
 
     number: Count
     done: bool
-    text: Annotated[str, Meta(max_length=MOST_TEXT)]
-
-
-Micro = Annotated[int, Meta(ge=0, le=2**48)]  # millionths of work a second
+    text: Annotated[str, Meta(max_length=MAX_RESULT_CHARS)]
 
 
 class QuotaRequest(Struct, array_like=True, tag=18):
-    """What the sender's clients ask for of budgets. `check`: of the contracts that it goes by; `ready`: of
-    the newest that it has; `rows`: (team, want, how many marks ago the question was whose answer it acts on,
-    what it has). 0 marks ago: no answer to an earlier question counts for it any more. `first`, `last`: the
-    marks of all that is asked in one turn."""
+    """What the sender's clients need of the tenants' quotas.
+
+    `check`: checksum of the contracts in use; `ready`: of the newest that the sender has; `first` and `last`:
+    the marks of all requests of one round.
+    """
 
     mark: Count
-    check: Generation
-    ready: Generation
-    rows: Annotated[list[tuple[Small, Micro, Count, Micro]], Meta(max_length=MOST_ROWS)]
+    check: Checksum
+    ready: Checksum
+    rows: Annotated[list[QuotaRequestRow], Meta(max_length=MOST_ROWS)]
     first: Count = 0
     last: Count = 0
 
 
 class QuotaGrant(Struct, array_like=True, tag=19):
-    """The coordinator's answer: `length` in milliseconds from when the mark was made; (team, its part)."""
+    """The leader's answer; `length` is milliseconds from when the request of that mark was sent."""
 
     mark: Count
-    check: Generation
+    check: Checksum
     length: Count
-    rows: Annotated[list[tuple[Small, Micro]], Meta(max_length=MOST_ROWS)]
+    rows: Annotated[list[QuotaGrantRow], Meta(max_length=MOST_ROWS)]
 
 
 class RolloutMetrics(Struct, array_like=True, tag=20):
-    """What the sender counted since its life began: (checksum of the offering's name, tasks, late, abandoned,
-    bounced, errors, assignments, finished, sum of the logarithms of milliseconds in thousandths, that of
-    their squares). `change`: the number of the change that it follows; `release`, `tag`: checksums of what it
-    runs; `memory` in tenths of a megabyte; `contracts`: the version of those that it goes by, 0: none."""
+    """What the sender counted since it started, for the canary analysis.
+
+    `change`: number of the rollout that it follows; `release` and `tag`: checksums of what it runs; `memory`
+    in tenths of a megabyte; `contracts`: the version in use, 0 for none.
+    """
 
     change: Count
-    release: Generation
-    tag: Generation
-    zone: Small
-    memory: Small
-    rows: Annotated[
-        list[tuple[Generation, Count, Count, Count, Count, Count, Count, Count, Count, Count]],
-        Meta(max_length=MOST_COUNTED),
-    ]
+    release: Checksum
+    tag: Checksum
+    zone: UInt16
+    memory: UInt16
+    rows: Annotated[list[RolloutMetricsRow], Meta(max_length=MOST_COUNTED)]
     contracts: Generation = 0
 
 
 class RolloutCommand(Struct, array_like=True, tag=21):
-    """On a change, from any node to the coordinator, which says something to it (`Said`). `word`: start,
-    hold, resume, back, failed, page, dry. `check`: of the file, or a number with the word."""
+    """A command on a rollout, from any node to the leader.
+
+    `word`: start, hold, resume, back, failed, page or dry; `check`: checksum of the rollout's file, or the
+    number that the word takes.
+    """
 
     number: Count
     word: Annotated[str, Meta(max_length=8)]
-    name: Annotated[str, Meta(max_length=MOST_NAME)] = ""
-    check: Generation = 0
+    name: Annotated[str, Meta(max_length=MAX_ROLLOUT_NAME_CHARS)] = ""
+    check: Checksum = 0
     text: Annotated[str, Meta(max_length=100)] = ""
 
 
@@ -243,42 +315,53 @@
     | RolloutMetrics
     | RolloutCommand
 )
-NEWS = (Ping, Ack, PingRequest)  # the kinds that carry news
+GossipMessage = Ping | Ack | PingRequest  # the messages that carry membership updates
+
+
+class ReceivedMessage(NamedTuple):
+    """A decoded datagram: the header's fields and the message."""
+
+    node_id: int
+    generation: int
+    incarnation: int
+    message: Message
+
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
 def cluster_checksum(name: str) -> int:
+    """CRC-32 of the cluster's name, which keeps two clusters on one network apart."""
     return crc32(name.encode())
 
 
-def encode(fleet: int, seat: int, generation: int, incarnation: int, message: Message) -> bytes:
-    """The bytes of a datagram; news that do not fit are left out, the last ones first."""
-    head = HEAD.pack(VERSION, fleet, seat, generation, incarnation)
-    data = head + _encoder.encode(message)
-    while len(data) > LONGEST and isinstance(message, NEWS) and message.news:
-        over = (len(data) - LONGEST) // 16 + 1
-        message = msgspec.structs.replace(message, news=message.news[:-over])
-        data = head + _encoder.encode(message)
+def encode(cluster: int, node_id: int, generation: int, incarnation: int, message: Message) -> bytes:
+    """Encode a datagram; membership updates that do not fit are dropped, the last ones first."""
+    header = HEADER.pack(VERSION, cluster, node_id, generation, incarnation)
+    data = header + _encoder.encode(message)
+    while len(data) > LONGEST and isinstance(message, GossipMessage) and message.news:
+        excess = (len(data) - LONGEST) // MEMBERSHIP_UPDATE_BYTES + 1
+        message = msgspec.structs.replace(message, news=message.news[:-excess])
+        data = header + _encoder.encode(message)
     return data
 
 
-def decode(fleet: int, data: bytes) -> tuple[int, int, int, Message]:
-    """Seat, life and incarnation of the sender, and the message; Unreadable."""
+def decode(cluster: int, data: bytes) -> ReceivedMessage:
+    """Decode a datagram; raises `MalformedMessage`."""
     if len(data) > LONGEST:
         raise MalformedMessage("too long")
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise MalformedMessage("cut short")
-    version, mark, seat, generation, incarnation = HEAD.unpack_from(data)
+    version, checksum, node_id, generation, incarnation = HEADER.unpack_from(data)
     if version != VERSION:
         raise MalformedMessage("another version")
-    if mark != fleet:
+    if checksum != cluster:
         raise MalformedMessage("another fleet")
     try:
-        message = _decoder.decode(memoryview(data)[HEAD.size :])
+        message = _decoder.decode(memoryview(data)[HEADER.size :])
     except (msgspec.DecodeError, RecursionError):
         raise MalformedMessage("garbage") from None
-    if isinstance(message, NEWS) and len(message.news) > MOST_NEWS:
+    if isinstance(message, GossipMessage) and len(message.news) > MAX_UPDATES:
         raise MalformedMessage("garbage")
-    return seat, generation, incarnation, message
+    return ReceivedMessage(node_id, generation, incarnation, message)
--- a/firwalk/cluster/plan.py
+++ b/firwalk/cluster/plan.py
@@ -18,7 +18,7 @@
 
 from firwalk.cluster.host import Host
 from firwalk.cluster.lease import MOST_AHEAD, Proposer
-from firwalk.cluster.messages import MOST_PIECES, NOBODY, PIECE, Answer, Ballot, Fetch, Piece, Report
+from firwalk.cluster.messages import MAX_PIECES, NOBODY, PIECE_BYTES, Answer, Ballot, Fetch, Piece, Report
 from firwalk.cluster.random_source import RandomSource
 
 Stamp = tuple[Ballot, int]
@@ -37,13 +37,13 @@
 def encoded(sections: dict[str, Any]) -> bytes:
     """TooLong; the same bytes for the same sections, whatever their order."""
     text = msgspec.json.encode(sections, order="deterministic")
-    if len(text) > MOST_PIECES * PIECE:
-        raise PlanTooLarge(f"a plan of {len(text)} bytes; the most is {MOST_PIECES * PIECE}")
+    if len(text) > MAX_PIECES * PIECE_BYTES:
+        raise PlanTooLarge(f"a plan of {len(text)} bytes; the most is {MAX_PIECES * PIECE_BYTES}")
     return text
 
 
 def pieces(stamp: Stamp, text: bytes) -> list[Piece]:
-    parts = [text[at : at + PIECE] for at in range(0, len(text), PIECE)] or [b""]
+    parts = [text[at : at + PIECE_BYTES] for at in range(0, len(text), PIECE_BYTES)] or [b""]
     return [Piece(*stamp, number, len(parts), crc32(text), part) for number, part in enumerate(parts)]
 
 
--- a/firwalk/lab/faults.py
+++ b/firwalk/lab/faults.py
@@ -196,7 +196,7 @@
 
     def saw_message(self, at: float, sender: int, to: int, data: bytes) -> None:
         """A datagram on its way: coordinators' answers are for the judge."""
-        if len(data) <= messages.HEAD.size:
+        if len(data) <= messages.HEADER.size:
             return
         try:
             seat, generation, _, message = messages.decode(messages.cluster_checksum(FLEET_NAME), data)
--- a/firwalk/net/cluster.py
+++ b/firwalk/net/cluster.py
@@ -235,7 +235,9 @@
 
     async def _word(self, word: str, name: str = "", check: int = 0, text: str = "") -> tuple[str, str]:
         return await self._coordinator_says(
-            lambda now, done: self.seat.word(now, word, name[: messages.MOST_NAME], check, text, done)
+            lambda now, done: self.seat.word(
+                now, word, name[: messages.MAX_ROLLOUT_NAME_CHARS], check, text, done
+            )
         )
 
     async def _line(self) -> tuple[str, str]:
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -14,17 +14,17 @@
 @pytest.mark.parametrize(
     "message",
     [
-        m.Ping(2**48, LARGE, [(65535, 2**48, 2**32 - 1, 3)] * m.MOST_NEWS),
+        m.Ping(2**48, LARGE, [(65535, 2**48, 2**32 - 1, 3)] * m.MAX_UPDATES),
         m.Promise(LARGE, LARGE),
         m.Refuse(LARGE, LARGE),
         m.Propose(LARGE, 2**48, 2**32 - 1),
         m.Report(2**48, LARGE, 2**48, LARGE, 2**48, 2**62 - 1),
         m.HealthObservations(65535, 2**32 - 1, [(65535,) * 4 + (2**32 - 1,) * 2] * m.MOST_ZONES),
         m.OperatorCommand(2**48, "restore", 65535),
-        m.CommandResult(2**48, True, "x" * m.MOST_TEXT),
+        m.CommandResult(2**48, True, "x" * m.MAX_RESULT_CHARS),
         m.Answer(2**48, LARGE, 2**48),
         m.Fetch(LARGE, 2**48),
-        m.Piece(LARGE, 2**48, 61, 62, 2**32 - 1, b"x" * m.PIECE),
+        m.Piece(LARGE, 2**48, 61, 62, 2**32 - 1, b"x" * m.PIECE_BYTES),
     ],
     ids=lambda message: type(message).__name__,
 )
@@ -33,7 +33,7 @@
     assert len(data) <= m.LONGEST
     seat, generation, incarnation, back = m.decode(FLEET, data)
     assert (seat, generation, incarnation) == (65535, 2**32 - 1, 2**32 - 1) and type(back) is type(message)
-    assert not isinstance(message, m.NEWS) or len(back.news) >= 8
+    assert not isinstance(message, m.GossipMessage) or len(back.news) >= 8
 
 
 def test_another_fleet_version_and_length_are_told_apart():
@@ -51,14 +51,14 @@
 
 
 def test_fields_that_a_newer_version_adds_are_passed_over():
-    data = m.HEAD.pack(m.VERSION, FLEET, 1, 2, 3) + msgspec.msgpack.encode([4, 77, "new", {"more": 1}])
+    data = m.HEADER.pack(m.VERSION, FLEET, 1, 2, 3) + msgspec.msgpack.encode([4, 77, "new", {"more": 1}])
     assert m.decode(FLEET, data)[3] == m.Nack(77)
 
 
 @settings(max_examples=600, deadline=None, derandomize=True)
 @given(st.binary(max_size=300), st.booleans())
 def test_garbage_is_a_message_or_unreadable(noise, headed):
-    data = m.HEAD.pack(m.VERSION, FLEET, 1, 2, 3) + noise[:240] if headed else noise
+    data = m.HEADER.pack(m.VERSION, FLEET, 1, 2, 3) + noise[:240] if headed else noise
     try:
         m.decode(FLEET, data)
     except m.MalformedMessage:
--- a/tests/cluster/test_plan.py
+++ b/tests/cluster/test_plan.py
@@ -3,7 +3,7 @@
 import pytest
 from test_lease import Box
 
-from firwalk.cluster.messages import MOST_PIECES, PIECE, Answer
+from firwalk.cluster.messages import MAX_PIECES, PIECE_BYTES, Answer
 from firwalk.cluster.plan import PlanFollower, PlanTooLarge, encoded, pieces
 from firwalk.cluster.random_source import RandomSource
 from firwalk.lab.invariants import Judge
@@ -102,7 +102,7 @@
 
 def test_a_plan_too_long_for_its_pieces_is_turned_down_whole():
     with pytest.raises(PlanTooLarge):
-        encoded({"a": "x" * MOST_PIECES * PIECE})
+        encoded({"a": "x" * MAX_PIECES * PIECE_BYTES})
     made, _ = world(10.0)
     process = made.processes[made.coordinator()]
     before = process.seat.writer.stamp()
--- a/tests/golden/test_golden_nodes.py
+++ b/tests/golden/test_golden_nodes.py
@@ -111,7 +111,7 @@
 def test_version_and_head():
     """The head: version, fleet mark, seat, life and incarnation, big endian, 15 bytes."""
     assert messages.cluster_checksum("spruce") == 631394588
-    assert messages.HEAD.pack(messages.VERSION, FLEET, SEAT, LIFE, INCARNATION) == HEAD
+    assert messages.HEADER.pack(messages.VERSION, FLEET, SEAT, LIFE, INCARNATION) == HEAD
 
 
 @pytest.mark.parametrize(("message", "body"), BODIES)
