--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -50,16 +50,17 @@
         chance = RandomSource(generation ^ seat)
         report, hold = self._spread(report, hold)
         self.members = Members(host, seat, seats, generation, chance, period=period, answer=answer)
-        self.voter = Acceptor(host, generation, now, length=length, drift=drift) if seat in voters else None
+        self.voter = Acceptor(host, generation, now, lease_s=length, drift=drift) if seat in voters else None
         self.follower = PlanFollower(host, seat, chance, report=report, hold=hold)
         self.candidate, self.writer = None, None
         self.members.office = lambda: self.follower.office
         if self.voter is not None:
             self.candidate = Proposer(
-                host, seat, generation, voters, self.voter, chance, length=length, drift=drift
+                host, seat, generation, voters, self.voter, chance, lease_s=length, drift=drift
             )
             self.writer = PlanPublisher(host, self.candidate, self.follower, chance, self.members.up)
-            self.candidate.won, self.candidate.lost = self.writer.won, self.writer.lost
+            self.candidate.on_won = self.writer.won
+            self.candidate.on_lost = self.writer.lost
             self.writer.opened = self._opened
         self.terms, self.zones, self.zone_of = zones, None, {}
         self.refused: dict[int, str] = {}
@@ -395,14 +396,14 @@
         }
         if voter is not None:
             acts |= {
-                m.Prepare: lambda now, seat, generation, got: voter.prepare_came(now, seat, got.ballot),
-                m.Propose: lambda now, seat, generation, got: voter.propose_came(now, seat, got),
-                m.Release: lambda now, seat, generation, got: voter.release_came(now, got.ballot),
-                m.Promise: lambda now, seat, generation, got: candidate.promise_came(
+                m.Prepare: lambda now, seat, generation, got: voter.on_prepare(now, seat, got.ballot),
+                m.Propose: lambda now, seat, generation, got: voter.on_propose(now, seat, got),
+                m.Release: lambda now, seat, generation, got: voter.on_release(now, got.ballot),
+                m.Promise: lambda now, seat, generation, got: candidate.on_promise(
                     now, seat, generation, got
                 ),
-                m.Refuse: lambda now, seat, generation, got: candidate.refuse_came(now, got),
-                m.Accept: lambda now, seat, generation, got: candidate.accept_came(now, seat, got),
+                m.Refuse: lambda now, seat, generation, got: candidate.on_refuse(now, got),
+                m.Accept: lambda now, seat, generation, got: candidate.on_accept(now, seat, got),
                 m.Report: lambda now, seat, generation, got: writer.report_came(now, seat, got),
                 m.HealthObservations: lambda now, seat, generation, got: self._evidence_came(now, seat, got),
                 m.OperatorCommand: lambda now, seat, generation, got: self._wish_came(now, seat, got),
--- a/firwalk/cluster/host.py
+++ b/firwalk/cluster/host.py
@@ -1,17 +1,22 @@
-"""What the cluster's parts need from whoever runs them: sockets in `firwalk.net.cluster`, virtual time in
-`firwalk.lab.virtual`. Times are seconds on the node's own monotonic clock."""
+"""The interface through which the cluster's parts send datagrams, set timers and record events.
+
+`firwalk.net.cluster` implements it on sockets, `firwalk.lab.virtual` in virtual time. Times are seconds on
+the node's own monotonic clock.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from enum import IntEnum
-from typing import Any, Protocol
+from typing import Protocol, TypeVar
 
 from firwalk.cluster.messages import Message
 
+Context = TypeVar("Context")
+
 
 class State(IntEnum):
-    """How a seat is, as one node sees it. Of one incarnation the later word overrides the earlier one."""
+    """A member's state as one node sees it; within one incarnation a higher state overrides a lower one."""
 
     UP = 0
     SUSPECTED = 1
@@ -20,11 +25,13 @@
 
 
 class Host(Protocol):
-    def tell(self, seat: int, message: Message) -> None:
-        """Send a datagram to the seat; it may be lost, late or doubled."""
+    """What the cluster's parts need from the process that runs them."""
+
+    def tell(self, node_id: int, message: Message) -> None:
+        """Send a datagram to the node; it may be lost, delayed or duplicated."""
 
-    def set_timer(self, when: float, act: Callable[[float, Any], None], about: Any) -> None:
-        """Call `act(now, about)` once, at `when` or later; it cannot be unset."""
+    def set_timer(self, when: float, act: Callable[[float, Context], None], about: Context) -> None:
+        """Call `act(now, about)` once, at `when` or later; it cannot be cancelled."""
 
-    def event(self, what: str, **about: Any) -> None:
-        """A line for the operators and for whoever checks the invariants."""
+    def event(self, what: str, **fields: object) -> None:
+        """Record an event for the operators and for the invariant checker."""
--- a/firwalk/cluster/lease.py
+++ b/firwalk/cluster/lease.py
@@ -1,216 +1,266 @@
-"""One coordinator at a time: a lease that a majority of voters grants, without a disk.
+"""Leader election: a lease that a majority of acceptors grants, without a disk.
 
 Source: Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for Leases" (arXiv:1209.4187). Departures,
-all on the safe side: `docs/cluster.md`. Lengths are seconds on each node's own clock; clocks run at most
-`drift` off.
+all on the safe side, are listed in `docs/cluster.md`. Durations are seconds on each node's own clock; the
+rates of two clocks differ by at most `drift`.
 
-No I/O; a method for each thing that can happen, with the time first; acts through `cluster.host.Host`.
+No I/O: one method for each thing that can happen, with the time first; effects go through
+`firwalk.cluster.host.Host`.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sized
 
 from firwalk.cluster.host import Host
 from firwalk.cluster.messages import NOBODY, Accept, Ballot, Prepare, Promise, Propose, Refuse, Release
 from firwalk.cluster.random_source import RandomSource
 
-RENEWALS = 3  # in one length
-TURN = 0.1  # of a length: how far the first tries after a lease's end are spread
-BACK_OFF = 0.15  # of a length: after a try that came to nothing, twice as much each time
-MOST_BACK_OFF = 1.0  # of a length
-ROUND = 0.25  # of a length: in which a try must have come to its end
-MOST_AHEAD = 2**32  # counts that a stranger's ballot may be ahead: a wild one must not use them all up
+MS_PER_S = 1e3
+RENEWALS_PER_LEASE = 3
+MAX_CHECKS_PER_LEASE = 100
+FIRST_ROUND_SPREAD = 0.1  # of a lease: spreads the proposers that start when a lease has expired
+ROUND_TIMEOUT = 0.25  # of a lease
+BACKOFF = 0.15  # of a lease, doubled with each failed round
+MAX_BACKOFF = 1.0  # of a lease
+MAX_BACKOFF_DOUBLINGS = 8
+MAX_AHEAD = 2**32  # ballot numbers that one message may skip, so that a corrupt one cannot exhaust them
 
 
 class Acceptor:
-    """`length`: the longest lease that this voter grants. It has no memory of a life before, so it grants
-    nothing until all that it may have granted then is over by any clock."""
-
-    def __init__(self, host: Host, generation: int, now: float, *, length: float, drift: float):
-        self.host, self.generation, self.length = host, generation, length
-        self.quiet_until = now + length * (1 + drift) / (1 - drift)
-        self.promised, self.accepted, self.last = NOBODY, NOBODY, NOBODY
+    """Grants leases of at most `lease_s` seconds.
+
+    It keeps nothing across restarts, so after a start it stays silent until every lease that it may have
+    granted before has expired on any clock.
+    """
+
+    def __init__(self, host: Host, generation: int, now: float, *, lease_s: float, drift: float):
+        self.host = host
+        self.generation = generation
+        self.lease_s = lease_s
+        self.silent_until = now + lease_s * (1 + drift) / (1 - drift)
+        self.promised = NOBODY
+        self.accepted = NOBODY
+        self.last_accepted = NOBODY
         self.accepted_until = 0.0
 
-    def holder(self, now: float) -> Ballot | None:
-        """The ballot that holds here now, if one does."""
+    def lease_holder(self, now: float) -> Ballot | None:
+        """Return the ballot whose lease is in force here, if there is one."""
         return self.accepted if self.accepted != NOBODY and now < self.accepted_until else None
 
-    def prepare_came(self, now: float, sender: int, ballot: Ballot) -> None:
-        if now < self.quiet_until or ballot <= self.promised:
+    def on_prepare(self, now: float, sender: int, ballot: Ballot) -> None:
+        """Promise to accept nothing below the ballot, or refuse."""
+        if now < self.silent_until or ballot <= self.promised:
             self.host.tell(sender, Refuse(ballot, self.promised))
             return
         self.promised = ballot
-        self.host.tell(sender, Promise(ballot, self.holder(now)))
+        self.host.tell(sender, Promise(ballot, self.lease_holder(now)))
 
-    def propose_came(self, now: float, sender: int, message: Propose) -> None:
-        """A promise is this life's only; a ballot accepted once is not accepted again, however often it
-        arrives; a length beyond the own one would outlive the silence after a restart."""
+    def on_propose(self, now: float, sender: int, message: Propose) -> None:
+        """Grant the lease, or refuse."""
         ballot = message.ballot
-        if (
-            now < self.quiet_until
-            or message.generation != self.generation
-            or ballot < self.promised
-            or ballot <= self.last
-            or message.length > self.length * 1e3
-        ):
-            self.host.tell(sender, Refuse(ballot, max(self.promised, self.last)))
+        if not self._can_accept(now, message):
+            self.host.tell(sender, Refuse(ballot, max(self.promised, self.last_accepted)))
             return
-        self.promised = self.accepted = self.last = ballot
-        self.accepted_until = now + message.length / 1e3
+        self.promised = ballot
+        self.accepted = ballot
+        self.last_accepted = ballot
+        self.accepted_until = now + message.length / MS_PER_S
         self.host.tell(sender, Accept(ballot))
 
-    def release_came(self, now: float, ballot: Ballot) -> None:
+    def _can_accept(self, now: float, message: Propose) -> bool:
+        """A promise binds one generation; a duplicate must not prolong the lease; a lease longer than the
+        acceptor's own would outlive its silence after a restart."""
+        return (
+            now >= self.silent_until
+            and message.generation == self.generation
+            and message.ballot >= self.promised
+            and message.ballot > self.last_accepted
+            and message.length <= self.lease_s * MS_PER_S
+        )
+
+    def on_release(self, now: float, ballot: Ballot) -> None:
+        """The holder returns its lease early."""
         if ballot == self.accepted:
             self.accepted = NOBODY
 
 
 class Proposer:
-    """The side that wants the lease, holds it and renews it. `until` is on the own clock and on the safe
-    side; whoever acts as holder asks `holds` at that very moment, since a process may have slept."""
+    """Acquires the lease, holds and renews it.
+
+    `held_until` is on the own clock, on the safe side. Whoever acts as the leader calls `is_holder` at that
+    very moment, since the process may have been suspended.
+    """
 
     def __init__(
         self,
         host: Host,
-        seat: int,
+        node_id: int,
         generation: int,
         voters: list[int],
-        voter: Acceptor,
-        chance: RandomSource,
+        acceptor: Acceptor,
+        random_source: RandomSource,
         *,
-        length: float,
+        lease_s: float,
         drift: float,
     ):
-        self.host, self.seat, self.generation, self.voters, self.voter = host, seat, generation, voters, voter
-        self.chance, self.length = chance, length
-        self.own = length * (1 - drift) / (1 + drift)
-        self.count = 0
-        self.ballot: Ballot = NOBODY  # of the try under way, or the last one
-        self.open: dict[int, None] = {}  # voters that have nothing against it
-        self.granted: dict[int, None] = {}
-        self.proposing, self.began, self.until = False, 0.0, 0.0
-        self.held: Ballot = NOBODY  # the last one that a majority accepted
-        self.term: Ballot = NOBODY  # the one that this holding, or its office, began with
-        self.tries, self.active = 0, True
-        self.won: Callable[[float], None] = lambda now: None
-        self.lost: Callable[[float], None] = lambda now: None
-        self.busy_with: Callable[[Ballot], None] = lambda ballot: None
+        self.host = host
+        self.node_id = node_id
+        self.generation = generation
+        self.voters = voters
+        self.acceptor = acceptor
+        self.random_source = random_source
+        self.lease_s = lease_s
+        self.own_lease_s = lease_s * (1 - drift) / (1 + drift)
+        self.ballot_number = 0
+        self.ballot: Ballot = NOBODY  # of the current or last round
+        self.promises: dict[int, int] = {}  # generations of the acceptors that promised, by node id
+        self.accepts: dict[int, None] = {}
+        self.is_proposing = False
+        self.proposing_since = 0.0
+        self.held_until = 0.0
+        self.held_ballot: Ballot = NOBODY  # the last one that a majority accepted
+        self.term: Ballot = NOBODY  # the ballot that the current leadership began with
+        self.failed_rounds = 0
+        self.is_active = True
+        self.on_won: Callable[[float], None] = lambda now: None
+        self.on_lost: Callable[[float], None] = lambda now: None
 
     def start(self, now: float) -> None:
-        self.host.set_timer(now + self.length * (1 + TURN * self.chance.part()), self._look, None)
+        """Begin to compete for the lease once one granted before has surely expired."""
+        first = now + self.lease_s * (1 + FIRST_ROUND_SPREAD * self.random_source.fraction())
+        self.host.set_timer(first, self._check, None)
 
-    def holds(self, now: float) -> bool:
-        return now < self.until
+    def is_holder(self, now: float) -> bool:
+        """Whether the lease is held at this moment."""
+        return now < self.held_until
 
-    def met(self, ballot: Ballot) -> None:
-        """Somebody's ballot: the next own one is above it."""
-        if ballot[0] <= self.count + MOST_AHEAD:
-            self.count = max(self.count, ballot[0])
+    def observe(self, ballot: Ballot) -> None:
+        """Take note of another's ballot: the next own one is above it."""
+        if ballot[0] <= self.ballot_number + MAX_AHEAD:
+            self.ballot_number = max(self.ballot_number, ballot[0])
 
-    # -- tries -------------------------------------------------------------------------------------------
+    # -- rounds ------------------------------------------------------------------------------------------
 
-    def _look(self, now: float, _: object) -> None:
-        """Comes again and again: tries when nobody seems to hold the lease, or to renew the own one."""
-        if not self.active:
+    def _check(self, now: float, _: object) -> None:
+        """Runs periodically: renews the lease, or starts a round when nobody seems to hold it."""
+        if not self.is_active:
             return
-        if self.term != NOBODY and not self.holds(now):
-            self._lose(now)
-        again = now + self.length / RENEWALS
-        if self.holds(now):
-            self._try(now)
-        else:
-            held = self.voter.holder(now)
-            if held is not None and held[1:] != (self.seat, self.generation):
-                self.busy_with(held)
-                again = self.voter.accepted_until + TURN * self.length * self.chance.part()
-                self.tries = 0
-            else:
-                self._try(now)
-                self.tries += 1
-                again = now + self.length * (
-                    ROUND + min(BACK_OFF * 2 ** min(self.tries, 8), MOST_BACK_OFF) * self.chance.part()
-                )
-        self.host.set_timer(max(again, now + self.length / 100), self._look, None)
-        if self.holds(now):
-            self.host.set_timer(self.until, self._end, self.until)
-
-    def _try(self, now: float) -> None:
-        self.count = max(self.count, self.voter.promised[0]) + 1
-        self.ballot = (self.count, self.seat, self.generation)
-        self.open, self.granted, self.proposing = {}, {}, False
-        for seat in self.voters:
-            self.host.tell(seat, Prepare(self.ballot))
-
-    def _majority(self, of: dict[int, None]) -> bool:
-        return len(of) > len(self.voters) // 2
-
-    def promise_came(self, now: float, sender: int, generation: int, message: Promise) -> None:
+        if self.term != NOBODY and not self.is_holder(now):
+            self._step_down(now)
+        next_check = self._renew_or_compete(now)
+        self.host.set_timer(max(next_check, now + self.lease_s / MAX_CHECKS_PER_LEASE), self._check, None)
+        if self.is_holder(now):
+            self.host.set_timer(self.held_until, self._expire, self.held_until)
+
+    def _renew_or_compete(self, now: float) -> float:
+        """Start a round if it is time for one; returns when to check again."""
+        if self.is_holder(now):
+            self._start_round(now)
+            return now + self.lease_s / RENEWALS_PER_LEASE
+        holder = self.acceptor.lease_holder(now)
+        if holder is not None and not self._is_own(holder):
+            self.failed_rounds = 0
+            spread = FIRST_ROUND_SPREAD * self.lease_s * self.random_source.fraction()
+            return self.acceptor.accepted_until + spread
+        self._start_round(now)
+        self.failed_rounds += 1
+        backoff: float = min(BACKOFF * 2 ** min(self.failed_rounds, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF)
+        return now + self.lease_s * (ROUND_TIMEOUT + backoff * self.random_source.fraction())
+
+    def _start_round(self, now: float) -> None:
+        self.ballot_number = max(self.ballot_number, self.acceptor.promised[0]) + 1
+        self.ballot = (self.ballot_number, self.node_id, self.generation)
+        self.promises = {}
+        self.accepts = {}
+        self.is_proposing = False
+        for node_id in self.voters:
+            self.host.tell(node_id, Prepare(self.ballot))
+
+    def _is_own(self, ballot: Ballot) -> bool:
+        return ballot[1:] == (self.node_id, self.generation)
+
+    def _is_quorum(self, supporters: Sized) -> bool:
+        return len(supporters) > len(self.voters) // 2
+
+    def on_promise(self, now: float, sender: int, generation: int, message: Promise) -> None:
+        """With a quorum of promises the proposals go out; a late promise gets its proposal at once."""
         if message.accepted is not None:
-            self.met(message.accepted)
-        if message.ballot != self.ballot or sender not in self.voters or not self.active:
+            self.observe(message.accepted)
+        if message.ballot != self.ballot or sender not in self.voters or not self.is_active:
             return
-        if message.accepted is not None and message.accepted[1:] != (self.seat, self.generation):
-            self.busy_with(message.accepted)
+        if message.accepted is not None and not self._is_own(message.accepted):
             return
-        self.open[sender] = generation
-        if self.proposing:
+        self.promises[sender] = generation
+        if self.is_proposing:
             self._propose(sender, generation)
-        elif self._majority(self.open):
-            # Counted from before the first proposal is sent: each voter's own time begins later.
-            self.proposing, self.began = True, now
-            for seat, its_life in self.open.items():
-                self._propose(seat, its_life)
-
-    def _propose(self, seat: int, generation: int) -> None:
-        self.host.tell(seat, Propose(self.ballot, int(self.length * 1e3), generation))
-
-    def refuse_came(self, now: float, message: Refuse) -> None:
-        self.met(message.highest)
-
-    def accept_came(self, now: float, sender: int, message: Accept) -> None:
-        if not self.active or message.ballot != self.ballot or not self.proposing or sender not in self.open:
+        elif self._is_quorum(self.promises):
+            # Counted from before the first proposal is sent: each acceptor's own lease begins later.
+            self.is_proposing = True
+            self.proposing_since = now
+            for node_id, acceptor_generation in self.promises.items():
+                self._propose(node_id, acceptor_generation)
+
+    def _propose(self, node_id: int, generation: int) -> None:
+        self.host.tell(node_id, Propose(self.ballot, int(self.lease_s * MS_PER_S), generation))
+
+    def on_refuse(self, now: float, message: Refuse) -> None:
+        """Another ballot is ahead: the next own one goes above it."""
+        self.observe(message.highest)
+
+    def on_accept(self, now: float, sender: int, message: Accept) -> None:
+        """With a quorum of accepts the lease is held."""
+        if not self.is_active or message.ballot != self.ballot:
             return
-        self.granted[sender] = None
-        until = self.began + self.own
-        if not self._majority(self.granted) or until <= max(self.until, now):
+        if not self.is_proposing or sender not in self.promises:
             return
-        new = not self.holds(now)
-        if new and self.term != NOBODY:
-            self._lose(now)
-        self.until, self.tries, self.held = until, 0, self.ballot
-        if new:
+        self.accepts[sender] = None
+        until = self.proposing_since + self.own_lease_s
+        if self._is_quorum(self.accepts) and until > max(self.held_until, now):
+            self._hold(now, until)
+
+    def _hold(self, now: float, until: float) -> None:
+        is_new = not self.is_holder(now)
+        if is_new and self.term != NOBODY:
+            self._step_down(now)
+        self.held_until = until
+        self.failed_rounds = 0
+        self.held_ballot = self.ballot
+        if is_new:
             self.term = self.ballot
         self.host.event("lease", ballot=self.ballot, term=self.term, left=until - now, until=until)
-        self.host.set_timer(until, self._end, until)
-        if new:
-            self.won(now)
+        self.host.set_timer(until, self._expire, until)
+        if is_new:
+            self.on_won(now)
 
-    # -- ends --------------------------------------------------------------------------------------------
+    # -- the end of a lease ------------------------------------------------------------------------------
 
-    def _end(self, now: float, until: float) -> None:
-        if self.until <= now and self.term != NOBODY:
-            self._lose(now)
+    def _expire(self, now: float, until: float) -> None:
+        if self.held_until <= now and self.term != NOBODY:
+            self._step_down(now)
 
-    def _lose(self, now: float) -> None:
-        term, self.term = self.term, NOBODY
+    def _step_down(self, now: float) -> None:
+        term = self.term
+        self.term = NOBODY
         self.host.event("lease_lost", term=term)
-        self.lost(now)
+        self.on_lost(now)
 
     def renew_above(self, now: float, ballot: Ballot) -> None:
-        """Somebody follows a plan of a higher term than this one's: the office begins anew above it."""
-        self.met(ballot)
-        if self.holds(now):
-            self._try(now)
+        """Renew the lease at once, with a ballot above the given one."""
+        self.observe(ballot)
+        if self.is_holder(now):
+            self._start_round(now)
 
     def begin_term(self, now: float) -> None:
-        """The lease goes on, and the office begins anew with the last ballot that was granted."""
-        self.term = self.held
+        """Begin a new term, with the last accepted ballot, under the same lease."""
+        self.term = self.held_ballot
 
     def release(self, now: float) -> None:
-        """Gives the lease back; only after the own view of it is over does anybody hear of it."""
-        held, self.until, self.active = self.holds(now), 0.0, False
-        if held:
-            self._lose(now)
-            for seat in self.voters:
-                self.host.tell(seat, Release(self.held))
+        """Return the lease; the acceptors hear of it only after it has ended here."""
+        was_holder = self.is_holder(now)
+        self.held_until = 0.0
+        self.is_active = False
+        if was_holder:
+            self._step_down(now)
+            for node_id in self.voters:
+                self.host.tell(node_id, Release(self.held_ballot))
--- a/firwalk/cluster/members.py
+++ b/firwalk/cluster/members.py
@@ -83,7 +83,7 @@
 
     def start(self, now: float) -> None:
         self._note(self.me)
-        self._timer(now + self.chance.part() * self.period, self._round, None)
+        self._timer(now + self.chance.fraction() * self.period, self._round, None)
 
     # -- who is there ------------------------------------------------------------------------------------
 
@@ -120,7 +120,7 @@
         if self.rounds % AGAIN_EVERY == 0:
             gone = [member for member in self.all if member.state >= State.DOWN]
             if gone:
-                return gone[self.chance.whole() % len(gone)]
+                return gone[self.chance.uint32() % len(gone)]
         for _ in range(len(self.all) + 1):
             if self.turn >= len(self.order):
                 self.order, self.turn = self.chance.shuffled(self.all), 0
@@ -149,7 +149,7 @@
         """Others may reach it where this node cannot."""
         if probe.answered or probe.member.state >= State.DOWN:
             return
-        helpers = self.chance.some(
+        helpers = self.chance.sample(
             [m for m in self.all if m.state is State.UP and m is not self.me and m is not probe.member],
             HELPERS,
         )
@@ -334,5 +334,5 @@
         """This node ends in good order: some others are told, and pass it on."""
         self.leaving, self.me.state = True, State.LEFT
         others = [m for m in self.all if m.state is State.UP]
-        for member in self.chance.some(others, 2 * HELPERS):
+        for member in self.chance.sample(others, 2 * HELPERS):
             self.host.tell(member.seat, Ping(0, self.office(), [self.me.word()]))
--- a/firwalk/cluster/node_id_ranges.py
+++ b/firwalk/cluster/node_id_ranges.py
@@ -1,22 +1,32 @@
-"""Seats in few bytes, as the plan and the log have them: "0-4,7,9-11"."""
+"""Compact text form of node ids, as plans and log lines carry it: "0-4,7,9-11"."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 
-def encode_ranges(seats: list[int]) -> str:
-    found: list[list[int]] = []
-    for seat in sorted(seats):
-        if found and seat == found[-1][1] + 1:
-            found[-1][1] = seat
+
+class MalformedRanges(ValueError):
+    """Text that is no list of node id ranges."""
+
+
+def encode_ranges(node_ids: Iterable[int]) -> str:
+    """Encode distinct node ids, in any order; adjacent ones become one range."""
+    ranges: list[tuple[int, int]] = []
+    for node_id in sorted(node_ids):
+        if ranges and node_id == ranges[-1][1] + 1:
+            ranges[-1] = (ranges[-1][0], node_id)
         else:
-            found.append([seat, seat])
-    return ",".join(f"{a}-{b}" if b > a else f"{a}" for a, b in found)
+            ranges.append((node_id, node_id))
+    return ",".join(f"{first}-{last}" if last > first else f"{first}" for first, last in ranges)
 
 
 def decode_ranges(text: str) -> list[int]:
-    """The reverse; ValueError."""
-    found: list[int] = []
+    """Decode what `encode_ranges` wrote; raises `MalformedRanges`."""
+    node_ids: list[int] = []
     for part in text.split(",") if text else []:
         first, _, last = part.partition("-")
-        found += range(int(first), int(last or first) + 1)
-    return found
+        try:
+            node_ids += range(int(first), int(last or first) + 1)
+        except ValueError:
+            raise MalformedRanges(f"{part!r} is no range of node ids") from None
+    return node_ids
--- a/firwalk/cluster/plan.py
+++ b/firwalk/cluster/plan.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from firwalk.cluster.host import Host
-from firwalk.cluster.lease import MOST_AHEAD, Proposer
+from firwalk.cluster.lease import MAX_AHEAD, Proposer
 from firwalk.cluster.messages import MAX_PIECES, NOBODY, PIECE_BYTES, Answer, Ballot, Fetch, Piece, Report
 from firwalk.cluster.random_source import RandomSource
 
@@ -78,13 +78,13 @@
         self.until, self.taken_at, self.over = 0.0, 0.0, True
         self.office: Ballot = NOBODY  # the newest coordinator's term that was heard of
         self.parts: PlanAssembly | None = None
-        self.mark, self.marks = chance.whole(), {}
+        self.mark, self.marks = chance.uint32(), {}
         self.good_from: dict[Stamp, float] = {}  # plans that were in force then, by the coordinator's answer
         self.hurried: Stamp = NONE  # the plan for which it asked out of turn
         self.changed: Callable[[float], None] = lambda now: None
 
     def start(self, now: float) -> None:
-        self.host.set_timer(now + self.chance.part() * self.report, self._report, None)
+        self.host.set_timer(now + self.chance.fraction() * self.report, self._report, None)
 
     # -- what holds --------------------------------------------------------------------------------------
 
@@ -145,7 +145,7 @@
     # -- what comes --------------------------------------------------------------------------------------
 
     def office_heard(self, now: float, term: Ballot) -> None:
-        if self.office < term and term[0] <= self.office[0] + MOST_AHEAD:
+        if self.office < term and term[0] <= self.office[0] + MAX_AHEAD:
             self.office = term
             if term[1] != self.seat:
                 self.ask(now)
@@ -153,7 +153,7 @@
     def _report(self, now: float, _: None) -> None:
         if self.office != NOBODY and self.office[1] != self.seat:
             self.ask(now)
-        self.host.set_timer(now + self.report * (0.9 + 0.2 * self.chance.part()), self._report, None)
+        self.host.set_timer(now + self.report * (0.9 + 0.2 * self.chance.fraction()), self._report, None)
 
     def ask(self, now: float) -> None:
         self.mark += 1
@@ -231,7 +231,7 @@
         self.opened: Callable[[float], None] = lambda now: None
 
     def in_office(self, now: float) -> bool:
-        return self.candidate.holds(now) and self.candidate.term != NOBODY
+        return self.candidate.is_holder(now) and self.candidate.term != NOBODY
 
     def stamp(self) -> Stamp:
         return self.candidate.term, self.version
@@ -272,7 +272,7 @@
 
     def _raise(self, now: float, above: Ballot) -> None:
         """The voters forgot, and others did not: the office begins anew, above what these know of."""
-        if self.candidate.held > above:
+        if self.candidate.held_ballot > above:
             self.candidate.begin_term(now)
             self.follower.office_heard(now, self.candidate.term)
             self.host.event("coordinator", term=self.candidate.term)
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -22,88 +22,88 @@
 @_of
 def voter_grants_at_once_after_its_start(seat):
     if seat.voter:
-        seat.voter.quiet_until = 0.0
+        seat.voter.silent_until = 0.0
 
 
 @_of
 def voter_forgets_what_it_accepted(seat):
     if seat.voter:
-        seat.voter.holder = lambda now: None
+        seat.voter.lease_holder = lambda now: None
 
 
 @_of
 def voter_accepts_below_its_promise(seat):
     voter = seat.voter
 
-    def propose_came(now, sender, message):
-        if now >= voter.quiet_until:
-            voter.accepted = voter.last = message.ballot
+    def on_propose(now, sender, message):
+        if now >= voter.silent_until:
+            voter.accepted = voter.last_accepted = message.ballot
             voter.accepted_until = now + message.length / 1e3
             voter.host.tell(sender, Accept(message.ballot))
 
     if voter:
-        voter.propose_came = propose_came
+        voter.on_propose = on_propose
 
 
 @_of
 def voter_promises_any_ballot(seat):
     voter = seat.voter
 
-    def prepare_came(now, sender, ballot):
-        if now >= voter.quiet_until:
+    def on_prepare(now, sender, ballot):
+        if now >= voter.silent_until:
             voter.promised = ballot
-            voter.host.tell(sender, Promise(ballot, voter.holder(now)))
+            voter.host.tell(sender, Promise(ballot, voter.lease_holder(now)))
 
     if voter:
-        voter.prepare_came = prepare_came
+        voter.on_prepare = on_prepare
 
 
 @_of
 def voter_counts_half_of_the_length(seat):
     voter = seat.voter
 
-    def propose_came(now, sender, message):
-        lease.Acceptor.propose_came(voter, now, sender, message)
+    def on_propose(now, sender, message):
+        lease.Acceptor.on_propose(voter, now, sender, message)
         if voter.accepted == message.ballot:
             voter.accepted_until = now + message.length / 2e3
 
     if voter:
-        voter.propose_came = propose_came
+        voter.on_propose = on_propose
 
 
 @_of
 def holder_counts_from_the_last_accept(seat):
     candidate = seat.candidate
 
-    def accept_came(now, sender, message):
-        candidate.began = now
-        lease.Proposer.accept_came(candidate, now, sender, message)
+    def on_accept(now, sender, message):
+        candidate.proposing_since = now
+        lease.Proposer.on_accept(candidate, now, sender, message)
 
     if candidate:
-        candidate.accept_came = accept_came
+        candidate.on_accept = on_accept
 
 
 @_of
 def holder_holds_for_two_lengths(seat):
     if seat.candidate:
-        seat.candidate.own *= 2
+        seat.candidate.own_lease_s *= 2
 
 
 @_of
 def minority_is_enough(seat):
     if seat.candidate:
-        seat.candidate._majority = lambda of: len(of) >= len(seat.candidate.voters) // 2
+        seat.candidate._is_quorum = lambda supporters: len(supporters) >= len(seat.candidate.voters) // 2
 
 
 @_of
 def candidate_passes_over_another_holder(seat):
     candidate = seat.candidate
 
-    def promise_came(now, sender, generation, message):
-        lease.Proposer.promise_came(candidate, now, sender, generation, Promise(message.ballot, None))
+    def on_promise(now, sender, generation, message):
+        lease.Proposer.on_promise(candidate, now, sender, generation, Promise(message.ballot, None))
 
     if candidate:
-        candidate.promise_came = promise_came
+        candidate.on_promise = on_promise
 
 
 @_of
--- a/tests/cluster/test_lease.py
+++ b/tests/cluster/test_lease.py
@@ -29,59 +29,59 @@
 
 def voter(generation=5, started=-10.0):
     box = Box()
-    return Acceptor(box, generation, started, length=LENGTH, drift=DRIFT), box
+    return Acceptor(box, generation, started, lease_s=LENGTH, drift=DRIFT), box
 
 
 def test_a_voter_grants_nothing_until_what_it_may_have_granted_is_over():
     one, box = voter(started=0.0)
-    one.prepare_came(2.0, 1, (1, 1, 1))
+    one.on_prepare(2.0, 1, (1, 1, 1))
     assert isinstance(box.sent[-1][1], m.Refuse)
-    one.prepare_came(2.05, 1, (2, 1, 1))
+    one.on_prepare(2.05, 1, (2, 1, 1))
     assert box.sent[-1][1] == m.Promise((2, 1, 1), None)
 
 
 def test_a_promise_of_a_life_before_counts_for_nothing():
     one, box = voter(generation=5)
-    one.prepare_came(0.0, 1, (3, 1, 1))
+    one.on_prepare(0.0, 1, (3, 1, 1))
     again, box = voter(generation=6)
-    again.propose_came(0.0, 1, m.Propose((3, 1, 1), 2000, 5))
-    assert isinstance(box.sent[-1][1], m.Refuse) and again.holder(0.1) is None
+    again.on_propose(0.0, 1, m.Propose((3, 1, 1), 2000, 5))
+    assert isinstance(box.sent[-1][1], m.Refuse) and again.lease_holder(0.1) is None
 
 
 def test_a_doubled_proposal_prolongs_nothing():
     one, box = voter()
-    one.prepare_came(0.0, 1, (3, 1, 1))
+    one.on_prepare(0.0, 1, (3, 1, 1))
     for at in (0.1, 1.0):
-        one.propose_came(at, 1, m.Propose((3, 1, 1), 2000, 5))
-    assert one.holder(2.05) == (3, 1, 1) and one.holder(2.11) is None
+        one.on_propose(at, 1, m.Propose((3, 1, 1), 2000, 5))
+    assert one.lease_holder(2.05) == (3, 1, 1) and one.lease_holder(2.11) is None
 
 
 def test_a_longer_lease_than_its_own_is_refused():
     one, box = voter()
-    one.prepare_came(0.0, 1, (3, 1, 1))
-    one.propose_came(0.0, 1, m.Propose((3, 1, 1), 2001, 5))
-    assert one.holder(0.1) is None
+    one.on_prepare(0.0, 1, (3, 1, 1))
+    one.on_propose(0.0, 1, m.Propose((3, 1, 1), 2001, 5))
+    assert one.lease_holder(0.1) is None
 
 
 def test_a_late_release_ends_no_later_lease():
     one, _ = voter()
     for ballot in ((3, 1, 1), (4, 2, 2)):
-        one.prepare_came(0.0, 1, ballot)
-        one.propose_came(0.0, 1, m.Propose(ballot, 2000, 5))
-    one.release_came(0.1, (3, 1, 1))
-    assert one.holder(0.2) == (4, 2, 2)
-    one.release_came(0.3, (4, 2, 2))
-    assert one.holder(0.4) is None
+        one.on_prepare(0.0, 1, ballot)
+        one.on_propose(0.0, 1, m.Propose(ballot, 2000, 5))
+    one.on_release(0.1, (3, 1, 1))
+    assert one.lease_holder(0.2) == (4, 2, 2)
+    one.on_release(0.3, (4, 2, 2))
+    assert one.lease_holder(0.4) is None
 
 
 def test_the_holder_is_over_before_any_voter_could_be():
     one, _ = voter()
     box = Box()
-    candidate = Proposer(box, 0, 9, [0], one, RandomSource(1), length=LENGTH, drift=DRIFT)
-    candidate._try(100.0)
-    candidate.promise_came(100.5, 0, 5, m.Promise(candidate.ballot))
-    candidate.accept_came(101.0, 0, m.Accept(candidate.ballot))
-    assert candidate.holds(102.4) and not candidate.holds(100.5 + LENGTH * 0.99 / 1.01)
+    candidate = Proposer(box, 0, 9, [0], one, RandomSource(1), lease_s=LENGTH, drift=DRIFT)
+    candidate._start_round(100.0)
+    candidate.on_promise(100.5, 0, 5, m.Promise(candidate.ballot))
+    candidate.on_accept(101.0, 0, m.Accept(candidate.ballot))
+    assert candidate.is_holder(102.4) and not candidate.is_holder(100.5 + LENGTH * 0.99 / 1.01)
 
 
 class Leases(RuleBasedStateMachine):
@@ -97,9 +97,9 @@
     def _begin(self, number, started):
         self.generations += 1
         box, generation = Box(), self.generations
-        one = Acceptor(box, generation, started, length=LENGTH, drift=DRIFT)
+        one = Acceptor(box, generation, started, lease_s=LENGTH, drift=DRIFT)
         candidate = Proposer(
-            box, number, generation, [0, 1, 2], one, RandomSource(generation), length=LENGTH, drift=DRIFT
+            box, number, generation, [0, 1, 2], one, RandomSource(generation), lease_s=LENGTH, drift=DRIFT
         )
         self.seats[number] = (box, one, candidate, generation)
         self.claims.pop(number, None)
@@ -108,11 +108,11 @@
         for number, (box, _, candidate, generation) in enumerate(self.seats):
             self.net += [(number, generation, to, message) for to, message in box.sent]
             box.sent.clear()
-            self.claims[number] = candidate.until
+            self.claims[number] = candidate.held_until
 
     @rule(number=st.integers(0, 2))
     def tries(self, number):
-        self.seats[number][2]._try(self.now)
+        self.seats[number][2]._start_round(self.now)
         self._collect()
 
     @rule(which=st.integers(0, 10**6), keep=st.booleans())
@@ -123,15 +123,15 @@
         sender, generation, to, message = self.net[at] if keep else self.net.pop(at)
         _, one, candidate, _ = self.seats[to]
         if isinstance(message, m.Prepare):
-            one.prepare_came(self.now, sender, message.ballot)
+            one.on_prepare(self.now, sender, message.ballot)
         elif isinstance(message, m.Propose):
-            one.propose_came(self.now, sender, message)
+            one.on_propose(self.now, sender, message)
         elif isinstance(message, m.Promise):
-            candidate.promise_came(self.now, sender, generation, message)
+            candidate.on_promise(self.now, sender, generation, message)
         elif isinstance(message, m.Accept):
-            candidate.accept_came(self.now, sender, message)
+            candidate.on_accept(self.now, sender, message)
         elif isinstance(message, m.Refuse):
-            candidate.refuse_came(self.now, message)
+            candidate.on_refuse(self.now, message)
         self._collect()
 
     @rule()
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -102,20 +102,20 @@
 
     def begin(self, *args, **named):
         real(self, *args, **named)
-        self.quiet_until = 0.0
+        self.silent_until = 0.0
 
     lease.Acceptor.__init__ = begin
-    lease.Proposer.start = lambda self, now: self.host.set_timer(now + 0.05, self._look, None)
+    lease.Proposer.start = lambda self, now: self.host.set_timer(now + 0.05, self._check, None)
 
 
 def holder_acts_after_its_end():
     """Woken past its lease it goes on in the old name."""
-    lease.Proposer.holds = lambda self, now: self.until > 0.0
-    lease.Proposer._end = lambda self, now, until: None
+    lease.Proposer.is_holder = lambda self, now: self.held_until > 0.0
+    lease.Proposer._expire = lambda self, now, until: None
 
 
 def minority_is_enough():
-    lease.Proposer._majority = lambda self, of: len(of) >= len(self.voters) // 2
+    lease.Proposer._is_quorum = lambda self, supporters: len(supporters) >= len(self.voters) // 2
 
 
 def plan_applied_by_halves():
