--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -15,7 +15,8 @@
 from firwalk.cluster.lease import Acceptor, Proposer
 from firwalk.cluster.members import Members
 from firwalk.cluster.node_id_ranges import encode_ranges
-from firwalk.cluster.plan import PlanFollower, PlanPublisher
+from firwalk.cluster.plan_follower import PlanFollower
+from firwalk.cluster.plan_publisher import PlanPublisher
 from firwalk.cluster.random_source import RandomSource
 from firwalk.cluster.zones import ZonePolicy, Zones
 
@@ -51,7 +52,7 @@
         report, hold = self._spread(report, hold)
         self.members = Members(host, seat, seats, generation, chance, period=period, answer=answer)
         self.voter = Acceptor(host, generation, now, lease_s=length, drift=drift) if seat in voters else None
-        self.follower = PlanFollower(host, seat, chance, report=report, hold=hold)
+        self.follower = PlanFollower(host, seat, chance, report=report, hold_s=hold)
         self.candidate, self.writer = None, None
         self.members.office = lambda: self.follower.office
         if self.voter is not None:
@@ -59,9 +60,9 @@
                 host, seat, generation, voters, self.voter, chance, lease_s=length, drift=drift
             )
             self.writer = PlanPublisher(host, self.candidate, self.follower, chance, self.members.up)
-            self.candidate.on_won = self.writer.won
-            self.candidate.on_lost = self.writer.lost
-            self.writer.opened = self._opened
+            self.candidate.on_won = self.writer.on_lease_won
+            self.candidate.on_lost = self.writer.on_lease_lost
+            self.writer.on_opened = self._opened
         self.terms, self.zones, self.zone_of = zones, None, {}
         self.refused: dict[int, str] = {}
         self.evidence: Callable[[float], m.HealthObservations] | None = None  # what this node tells of zones
@@ -95,7 +96,7 @@
 
     def _keep(self, now: float, _: None) -> None:
         """While in office: the plan holds here too, and tells who is up, by which later parts divide."""
-        self.writer.keep(now)
+        self.writer.confirm_own_plan(now)
         if self.writer.in_office(now):
             up = self.members.up()
             changes = {
@@ -388,11 +389,11 @@
             m.Ack: lambda now, seat, generation, got: members.ack_came(now, seat, got),
             m.PingRequest: lambda now, seat, generation, got: members.ask_came(now, seat, got),
             m.Nack: lambda now, seat, generation, got: members.nack_came(now, got),
-            m.Answer: lambda now, seat, generation, got: follower.answer_came(now, seat, got),
-            m.Piece: lambda now, seat, generation, got: follower.piece_came(now, got),
+            m.Answer: lambda now, seat, generation, got: follower.on_answer(now, seat, got),
+            m.Piece: lambda now, seat, generation, got: follower.on_piece(now, got),
             m.CommandResult: lambda now, seat, generation, got: self._said(got),
             m.QuotaGrant: lambda now, seat, generation, got: self._grant_came(now, seat, got),
-            m.Fetch: lambda now, seat, generation, got: follower.fetch_came(now, seat, got),
+            m.Fetch: lambda now, seat, generation, got: follower.on_fetch(now, seat, got),
         }
         if voter is not None:
             acts |= {
@@ -404,7 +405,7 @@
                 ),
                 m.Refuse: lambda now, seat, generation, got: candidate.on_refuse(now, got),
                 m.Accept: lambda now, seat, generation, got: candidate.on_accept(now, seat, got),
-                m.Report: lambda now, seat, generation, got: writer.report_came(now, seat, got),
+                m.Report: lambda now, seat, generation, got: writer.on_report(now, seat, got),
                 m.HealthObservations: lambda now, seat, generation, got: self._evidence_came(now, seat, got),
                 m.OperatorCommand: lambda now, seat, generation, got: self._wish_came(now, seat, got),
                 m.QuotaRequest: self._want_came,
@@ -415,8 +416,8 @@
         return acts
 
     def _piece(self, now: float, seat: int, generation: int, got: m.Piece) -> None:
-        self.writer.piece_came(now, got)
-        self.follower.piece_came(now, got)
+        self.writer.on_piece(now, got)
+        self.follower.on_piece(now, got)
 
     def received(
         self, now: float, sender: int, generation: int, incarnation: int, message: m.Message
@@ -427,9 +428,9 @@
         if sender != self.seat:  # a candidate asks its own voter the same way as the others
             self.members.heard(now, sender, generation, incarnation)
         if isinstance(message, m.Ping | m.Ack):
-            self.follower.office_heard(now, message.office)
+            self.follower.on_leader_term(now, message.office)
             if self.writer is not None:
-                self.writer.office_heard(now, self.follower.office)
+                self.writer.on_leader_term(now, self.follower.office)
         act = self._acts.get(type(message))
         if act is not None:
             act(now, sender, generation, message)
@@ -438,7 +439,7 @@
         return self.writer is not None and self.writer.in_office(now)
 
     def set_section(self, now: float, name: str, section: Any) -> bool:
-        return self.writer is not None and self.writer.set(now, name, section)
+        return self.writer is not None and self.writer.set_section(now, name, section)
 
     def retuned(
         self, *, period: float, answer: float, report: float, hold: float, zones: ZonePolicy | None = None
@@ -450,7 +451,7 @@
             if self.zones is not None:
                 self.zones.terms = zones
         self.members.period, self.members.answer = period, answer
-        self.follower.report, self.follower.hold = self._spread(report, hold)
+        self.follower.report, self.follower.hold_s = self._spread(report, hold)
 
     def _spread(self, report: float, hold: float) -> tuple[float, float]:
         report = max(report, report * self.seats / FEW)
--- /dev/null
+++ b/firwalk/cluster/plan_follower.py
@@ -0,0 +1,202 @@
+"""The follower's side of the plan: every node takes over newer plans atomically, and only for a stated time.
+
+A plan is in force for `hold_s` from when the follower sent the question that the leader answered (Gray and
+Cheriton, "Leases", SOSP 1989). Times are seconds on the node's own clock.
+
+No I/O: one method for each thing that can happen, with the time first; effects go through
+`firwalk.cluster.host.Host`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from zlib import crc32
+
+import msgspec
+
+from firwalk.cluster.host import Host
+from firwalk.cluster.lease import MAX_AHEAD
+from firwalk.cluster.messages import NOBODY, Answer, Ballot, Fetch, Piece, Report
+from firwalk.cluster.plan import NO_PLAN, PlanAssembly, PlanSections, PlanStamp, encode_plan, split_plan
+from firwalk.cluster.random_source import RandomSource
+
+MAX_OPEN_REPORTS = 32  # whose sending times are remembered
+REPORT_JITTER_MIN = 0.9  # of the report interval
+REPORT_JITTER_RANGE = 0.2
+
+
+class PlanFollower:
+    """Follows the leader's plan.
+
+    `report`: seconds between reports to the leader; `hold_s`: seconds for which an answer keeps the plan in
+    force; `office`: the newest leader's term known; `changed`: called when the plan, or whether one is in
+    force, has changed.
+    """
+
+    def __init__(
+        self, host: Host, node_id: int, random_source: RandomSource, *, report: float, hold_s: float
+    ):
+        self.host = host
+        self.node_id = node_id
+        self.random_source = random_source
+        self.report = report
+        self.hold_s = hold_s
+        self.stamp = NO_PLAN
+        self.encoded = b"{}"
+        self.sections: PlanSections = {}
+        self.in_force_until = 0.0
+        self.taken_at = 0.0
+        self.has_expired = True
+        self.office: Ballot = NOBODY
+        self.assembly: PlanAssembly | None = None
+        self.last_mark = random_source.uint32()
+        self.asked_at: dict[int, float] = {}  # by mark
+        self.confirmed_at: dict[PlanStamp, float] = {}  # newer plans that were in force then
+        self.hurried: PlanStamp = NO_PLAN  # the plan for which a report was sent out of turn
+        self.changed: Callable[[float], None] = lambda now: None
+
+    def start(self, now: float) -> None:
+        """Begin to report, at a random point of the interval."""
+        self.host.set_timer(now + self.random_source.fraction() * self.report, self._report_in_turn, None)
+
+    # -- the plan in force -------------------------------------------------------------------------------
+
+    def now_in_force(self, now: float) -> PlanSections | None:
+        """Return the sections, or None: then each part falls back to its behaviour without a plan."""
+        return self.sections if self.stamp != NO_PLAN and now < self.in_force_until else None
+
+    def take(self, now: float, stamp: PlanStamp, encoded: bytes, since: float) -> bool:
+        """Adopt a newer plan, in force at `since`; returns False, changing nothing, if it is older or no
+        plan."""
+        if stamp <= self.stamp:
+            return False
+        sections = _decode_sections(encoded)
+        if sections is None:
+            self.host.event("plan_unreadable", term=stamp.term, version=stamp.version)
+            return False
+        self.stamp = stamp
+        self.encoded = encoded
+        self.sections = sections
+        self.taken_at = now
+        self.office = max(self.office, stamp.term)
+        self.in_force_until = since + self.hold_s
+        self.has_expired = False
+        self.assembly = None
+        self.confirmed_at = {newer: at for newer, at in self.confirmed_at.items() if newer > stamp}
+        self._announce(now)
+        return True
+
+    def _announce(self, now: float) -> None:
+        """The checksum is of the sections followed, not of the bytes received: the invariant checker compares
+        it with what the leader published."""
+        self.host.event(
+            "plan",
+            term=self.stamp.term,
+            version=self.stamp.version,
+            check=crc32(encode_plan(self.sections)),
+            left=self.in_force_until - now,
+        )
+        self._schedule_expiry(now)
+        self.changed(now)
+
+    def _schedule_expiry(self, now: float) -> None:
+        self.host.set_timer(max(self.in_force_until, now), self._expire, self.in_force_until)
+
+    def _expire(self, now: float, until: float) -> None:
+        if not self.has_expired and until == self.in_force_until:
+            self.has_expired = True
+            self.host.event("plan_over", term=self.stamp.term, version=self.stamp.version)
+            self.changed(now)
+
+    def confirm(self, now: float, since: float) -> None:
+        """The plan followed was in force at `since`."""
+        if since + self.hold_s <= self.in_force_until:
+            return
+        self.in_force_until = since + self.hold_s
+        if self.has_expired and now < self.in_force_until:
+            self.has_expired = False
+            self._announce(now)
+        else:
+            self._schedule_expiry(now)
+
+    # -- reports and answers -----------------------------------------------------------------------------
+
+    def on_leader_term(self, now: float, term: Ballot) -> None:
+        """A leader's term was heard of: report to a new leader at once."""
+        if self.office < term and term[0] <= self.office[0] + MAX_AHEAD:
+            self.office = term
+            if term[1] != self.node_id:
+                self.send_report(now)
+
+    def _report_in_turn(self, now: float, _: None) -> None:
+        if self.office != NOBODY and self.office[1] != self.node_id:
+            self.send_report(now)
+        jitter = REPORT_JITTER_MIN + REPORT_JITTER_RANGE * self.random_source.fraction()
+        self.host.set_timer(now + self.report * jitter, self._report_in_turn, None)
+
+    def send_report(self, now: float) -> None:
+        """Tell the leader what this node follows, and ask for what is in force."""
+        self.last_mark += 1
+        self.asked_at[self.last_mark] = now
+        self.asked_at.pop(self.last_mark - MAX_OPEN_REPORTS, None)
+        assembly = self.assembly
+        next_stamp = assembly.stamp if assembly else NO_PLAN
+        received = assembly.mask() if assembly else 0
+        self.host.tell(self.office[1], Report(self.last_mark, *self.stamp, *next_stamp, received))
+
+    def on_answer(self, now: float, sender: int, message: Answer) -> None:
+        """The leader tells which plan is in force."""
+        if message.term[1] != sender:
+            return
+        self.on_leader_term(now, message.term)
+        since = self.asked_at.pop(message.mark, None)
+        if since is None:
+            return
+        stamp = PlanStamp(message.term, message.version)
+        if stamp == self.stamp:
+            self.confirm(now, since)
+        elif stamp > self.stamp:
+            self.confirmed_at[stamp] = max(since, self.confirmed_at.get(stamp, 0.0))
+            self._take_if_complete(now)
+
+    def on_piece(self, now: float, piece: Piece) -> None:
+        """A piece of a plan arrived; those of the newest plan are assembled."""
+        stamp = PlanStamp(piece.term, piece.version)
+        if stamp <= self.stamp:
+            return
+        if self.assembly is None or stamp > self.assembly.stamp:
+            self.assembly = PlanAssembly(piece)
+        if stamp == self.assembly.stamp:
+            self.assembly.add(piece)
+            self._take_if_complete(now)
+
+    def _take_if_complete(self, now: float) -> None:
+        """Only an answer to an own question tells until when the plan is in force."""
+        assembly = self.assembly
+        if assembly is None:
+            return
+        encoded = assembly.assemble()
+        since = self.confirmed_at.get(assembly.stamp)
+        if encoded is None:
+            if assembly.has_all_pieces():
+                self.assembly = None  # damaged on the way: fetched again
+        elif since is not None:
+            self.take(now, assembly.stamp, encoded, since)
+        elif self.hurried < assembly.stamp and self.office == assembly.stamp.term:
+            # Waiting for the next report in turn would cost half an interval on average.
+            self.hurried = assembly.stamp
+            self.send_report(now)
+
+    def on_fetch(self, now: float, sender: int, message: Fetch) -> None:
+        """A new leader wants the plan that this node follows."""
+        if (message.term, message.version) == self.stamp:
+            for piece in split_plan(self.stamp, self.encoded):
+                self.host.tell(sender, piece)
+
+
+def _decode_sections(encoded: bytes) -> PlanSections | None:
+    try:
+        sections = msgspec.json.decode(encoded)
+    except msgspec.DecodeError:
+        return None
+    return sections if isinstance(sections, dict) else None
--- /dev/null
+++ b/firwalk/cluster/plan_publisher.py
@@ -0,0 +1,248 @@
+"""The leader's side of the plan: starts from the newest plan known, publishes changes, answers followers.
+
+Times are seconds on the node's own clock.
+
+No I/O: one method for each thing that can happen, with the time first; effects go through
+`firwalk.cluster.host.Host`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+from zlib import crc32
+
+import msgspec
+
+from firwalk.cluster.host import Host
+from firwalk.cluster.lease import Proposer
+from firwalk.cluster.messages import NOBODY, Answer, Ballot, Fetch, Piece, Report
+from firwalk.cluster.plan import (
+    NO_PLAN,
+    EncodedPlan,
+    PlanAssembly,
+    PlanSections,
+    PlanStamp,
+    encode_plan,
+    split_plan,
+)
+from firwalk.cluster.plan_follower import PlanFollower
+from firwalk.cluster.random_source import RandomSource
+
+GATHER_MIN = 2.0  # report intervals in which a new leader learns what others follow
+GATHER_MAX = 6.0  # report intervals
+BATCH_FOLLOWERS = 16  # that get a new plan at once: more would overflow the sockets' buffers
+BATCH_PAUSE_S = 0.005
+
+
+class Distribution(NamedTuple):
+    """The followers that a plan has not been sent to yet."""
+
+    stamp: PlanStamp
+    node_ids: list[int]
+
+
+class PlanPublisher:
+    """Publishes plans while this node is the leader; idle otherwise.
+
+    `node_ids_up` returns the members to distribute to; `on_opened` is called when the first plan of a term
+    has been published. `version` 0: nothing was published in this term yet.
+    """
+
+    def __init__(
+        self,
+        host: Host,
+        proposer: Proposer,
+        follower: PlanFollower,
+        random_source: RandomSource,
+        node_ids_up: Callable[[], list[int]],
+    ):
+        self.host = host
+        self.proposer = proposer
+        self.follower = follower
+        self.random_source = random_source
+        self.node_ids_up = node_ids_up
+        self.version = 0
+        self.sections: PlanSections = {}
+        self.encoded = b"{}"
+        self.newest: PlanStamp = NO_PLAN  # of those that others follow
+        self.fetched: EncodedPlan | None = None
+        self.assembly: PlanAssembly | None = None
+        self.gathering_since = 0.0
+        self.pending_changes: PlanSections = {}  # until the first plan of the term
+        self.reported: dict[int, PlanStamp] = {}  # by node id
+        self.on_opened: Callable[[float], None] = lambda now: None
+
+    def in_office(self, now: float) -> bool:
+        """Whether this node is the leader at this moment."""
+        return self.proposer.is_holder(now) and self.proposer.term != NOBODY
+
+    def stamp(self) -> PlanStamp:
+        """Return the stamp of the plan published last."""
+        return PlanStamp(self.proposer.term, self.version)
+
+    # -- the beginning of a term -------------------------------------------------------------------------
+
+    def on_lease_won(self, now: float) -> None:
+        """Announce the new leader, and learn from the others' reports what they follow."""
+        self.version = 0
+        self.assembly = None
+        self.fetched = None
+        self.reported = {}
+        self.newest = self.follower.stamp
+        self.gathering_since = now
+        self._announce_term(now)
+        for node_id in self.node_ids_up():  # they report at once
+            if node_id != self.follower.node_id:
+                self.host.tell(node_id, Answer(0, self.proposer.term, 0))
+        self.host.set_timer(now + GATHER_MIN * self.follower.report, self._open, self.proposer.term)
+
+    def on_lease_lost(self, now: float) -> None:
+        """Publish nothing more."""
+        self.version = 0
+
+    def _announce_term(self, now: float) -> None:
+        self.follower.on_leader_term(now, self.proposer.term)
+        self.host.event("coordinator", term=self.proposer.term)
+
+    def _open(self, now: float, term: Ballot) -> None:
+        """Publish the first plan of the term, with the sections of the newest plan known."""
+        if not self.in_office(now) or self.proposer.term != term or self.version:
+            return
+        known = max(self.newest, self.follower.stamp)
+        is_late = now > self.gathering_since + GATHER_MAX * self.follower.report
+        if max(known.term, self.follower.office) > term or known.term == term:
+            self._raise_term(now, max(known.term, self.follower.office))
+            return
+        is_missing = known > self.follower.stamp and not (self.fetched and self.fetched.stamp == known)
+        if is_missing and not is_late:
+            self.host.set_timer(now + self.follower.report / 2, self._open, term)
+            return
+        best = EncodedPlan(self.follower.stamp, self.follower.encoded)
+        if self.fetched:
+            best = max(best, self.fetched)
+        self.sections = msgspec.json.decode(best.data)
+        self.sections |= self.pending_changes
+        self.pending_changes = {}
+        self._publish(now)
+        self.on_opened(now)
+
+    def _raise_term(self, now: float, above: Ballot) -> None:
+        """Begin a new term above what others know of, which restarted acceptors have forgotten."""
+        if self.proposer.held_ballot > above:
+            self.proposer.begin_term(now)
+            self._announce_term(now)
+        else:
+            self.proposer.renew_above(now, above)
+        self.host.set_timer(now + self.follower.report / 2, self._open, self.proposer.term)
+
+    def on_leader_term(self, now: float, term: Ballot) -> None:
+        """No one can have become leader while this node holds the lease: a higher term is a stale one, and
+        the own term goes above it."""
+        if self.version and self.in_office(now) and term > self.proposer.term:
+            self.version = 0
+            self.gathering_since = now
+            self._raise_term(now, term)
+
+    # -- followers' reports ------------------------------------------------------------------------------
+
+    def on_report(self, now: float, sender: int, message: Report) -> None:
+        """Answer a follower, and send it the pieces that it lacks."""
+        if not self.in_office(now):
+            return
+        stamp = PlanStamp(message.term, message.version)
+        self.reported[sender] = stamp
+        if not self.version:
+            self._learn(sender, stamp)
+            return
+        published = self.stamp()
+        if stamp > published:
+            self._restart_above(now, sender, stamp)
+            return
+        self.host.tell(sender, Answer(message.mark, *published))
+        if stamp < published:
+            is_assembling = (message.next_term, message.next_version) == published
+            self._send_pieces(sender, message.pieces if is_assembling else 0)
+
+    def _learn(self, sender: int, stamp: PlanStamp) -> None:
+        if stamp > max(self.newest, self.follower.stamp):
+            self.newest = stamp
+            self.assembly = None
+        if stamp == self.newest and stamp > self.follower.stamp and self.fetched is None:
+            self.host.tell(sender, Fetch(*stamp))
+
+    def _restart_above(self, now: float, sender: int, stamp: PlanStamp) -> None:
+        """A follower has a newer plan than this leader published: begin a new term above it."""
+        if stamp > self.newest:
+            self.newest = stamp
+            self.fetched = None
+            self.assembly = None
+        self.version = 0
+        self.gathering_since = now
+        self.host.tell(sender, Fetch(*stamp))
+        self._raise_term(now, stamp.term)
+
+    def on_piece(self, now: float, piece: Piece) -> None:
+        """A piece of the newest plan that others follow, as fetched."""
+        stamp = PlanStamp(piece.term, piece.version)
+        if self.version or stamp != self.newest or not self.in_office(now):
+            return
+        self.assembly = self.assembly or PlanAssembly(piece)
+        self.assembly.add(piece)
+        encoded = self.assembly.assemble()
+        if encoded is not None:
+            self.fetched = EncodedPlan(stamp, encoded)
+
+    # -- publishing --------------------------------------------------------------------------------------
+
+    def set_section(self, now: float, name: str, section: Any) -> bool:
+        """Change one section; see `put`."""
+        return self.put(now, {name: section})
+
+    def put(self, now: float, changes: PlanSections) -> bool:
+        """Change sections, all in one version; returns False if this node is not the leader.
+
+        Raises `PlanTooLarge`; nothing is changed then.
+        """
+        if not self.in_office(now):
+            return False
+        sections = self.sections | changes
+        if not self.version:
+            self.pending_changes |= changes
+        elif sections != self.sections:
+            encode_plan(sections)
+            self.sections = sections
+            self._publish(now)
+        return True
+
+    def _publish(self, now: float) -> None:
+        encoded = encode_plan(self.sections)
+        self.version += 1
+        self.encoded = encoded
+        self.follower.take(now, self.stamp(), encoded, now)
+        self.host.event("wrote", term=self.proposer.term, version=self.version, check=crc32(encoded))
+        others = [node_id for node_id in self.node_ids_up() if node_id != self.follower.node_id]
+        self._distribute(now, Distribution(self.stamp(), self.random_source.shuffled(others)))
+
+    def _distribute(self, now: float, distribution: Distribution) -> None:
+        """Send the plan to one batch of followers, and schedule the next batch."""
+        stamp, node_ids = distribution
+        if not self.in_office(now) or stamp != self.stamp():
+            return
+        for node_id in node_ids[:BATCH_FOLLOWERS]:
+            if self.reported.get(node_id, NO_PLAN) < stamp:
+                self._send_pieces(node_id, 0)
+        remaining = node_ids[BATCH_FOLLOWERS:]
+        if remaining:
+            self.host.set_timer(now + BATCH_PAUSE_S, self._distribute, Distribution(stamp, remaining))
+
+    def _send_pieces(self, node_id: int, received: int) -> None:
+        """`received`: the mask of the pieces that the follower has."""
+        for piece in split_plan(self.stamp(), self.encoded):
+            if not received >> piece.number & 1:
+                self.host.tell(node_id, piece)
+
+    def confirm_own_plan(self, now: float) -> None:
+        """The leader's own plan stays in force at its node for as long as it is the leader."""
+        if self.version and self.in_office(now):
+            self.follower.confirm(now, now)
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from firwalk.cluster import lease, plan
+from firwalk.cluster import lease, plan, plan_follower, plan_publisher
 from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.messages import NOBODY, Accept, Promise
 
@@ -116,21 +116,21 @@
 @_of
 def follower_goes_back(seat):
     def take(now, stamp, text, since):
-        seat.follower.stamp = plan.NONE
-        return plan.PlanFollower.take(seat.follower, now, stamp, text, since)
+        seat.follower.stamp = plan.NO_PLAN
+        return plan_follower.PlanFollower.take(seat.follower, now, stamp, text, since)
 
     seat.follower.take = take
-    seat.follower.piece_came = lambda now, piece: _any_piece(seat.follower, now, piece)
+    seat.follower.on_piece = lambda now, piece: _any_piece(seat.follower, now, piece)
 
 
 def _any_piece(follower, now, piece):
-    parts = follower.parts
+    parts = follower.assembly
     if parts is None or parts.stamp != (piece.term, piece.version):
-        follower.parts = plan.PlanAssembly(piece)
-    follower.parts.add(piece)
-    text = follower.parts.whole()
+        follower.assembly = plan.PlanAssembly(piece)
+    follower.assembly.add(piece)
+    text = follower.assembly.assemble()
     if text is not None:
-        follower.take(now, follower.parts.stamp, text, now)
+        follower.take(now, follower.assembly.stamp, text, now)
 
 
 @_of
@@ -142,7 +142,7 @@
         sections = msgspec.json.decode(text)
         for name in [name for name in sections if name in follower.sections][1:]:
             sections[name] = follower.sections[name]
-        return plan.PlanFollower.take(
+        return plan_follower.PlanFollower.take(
             follower, now, stamp, msgspec.json.encode(sections, order="deterministic"), since
         )
 
@@ -154,16 +154,16 @@
     """Puts together what comes, whichever plan a piece belongs to."""
     follower = seat.follower
 
-    def piece_came(now, piece):
-        old = follower.parts.got if follower.parts is not None else {}
-        parts = follower.parts = plan.PlanAssembly(piece)
-        parts.got = {number: data for number, data in old.items() if number < piece.count}
+    def on_piece(now, piece):
+        old = follower.assembly.received if follower.assembly is not None else {}
+        parts = follower.assembly = plan.PlanAssembly(piece)
+        parts.received = {number: data for number, data in old.items() if number < piece.count}
         parts.add(piece)
-        if len(parts.got) == piece.count:
-            text = b"".join(parts.got[number] for number in range(piece.count))
+        if len(parts.received) == piece.count:
+            text = b"".join(parts.received[number] for number in range(piece.count))
             follower.take(now, parts.stamp, text, now)
 
-    follower.piece_came = piece_came
+    follower.on_piece = on_piece
 
 
 @_of
@@ -171,14 +171,14 @@
     """Two plans under one stamp."""
     writer = seat.writer
 
-    def set_(now, name, section):
-        done = plan.PlanPublisher.set(writer, now, name, section)
+    def set_section(now, name, section):
+        done = plan_publisher.PlanPublisher.set_section(writer, now, name, section)
         if done and writer.version > 1:
             writer.version -= 1
         return done
 
     if writer:
-        writer.set = set_
+        writer.set_section = set_section
 
 
 ALL = [
--- a/tests/cluster/test_plan.py
+++ b/tests/cluster/test_plan.py
@@ -4,7 +4,8 @@
 from test_lease import Box
 
 from firwalk.cluster.messages import MAX_PIECES, PIECE_BYTES, Answer
-from firwalk.cluster.plan import PlanFollower, PlanTooLarge, encoded, pieces
+from firwalk.cluster.plan import PlanTooLarge, encode_plan, split_plan
+from firwalk.cluster.plan_follower import PlanFollower
 from firwalk.cluster.random_source import RandomSource
 from firwalk.lab.invariants import Judge
 from firwalk.lab.schedules import Watch
@@ -89,20 +90,20 @@
 
 def test_a_plan_holds_from_the_question_however_late_the_answer():
     box = Box()
-    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold=3.0)
+    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold_s=3.0)
     stamp = ((4, 0, 9), 2)
-    follower.office_heard(10.0, stamp[0])
+    follower.on_leader_term(10.0, stamp[0])
     mark = box.sent[-1][1].mark
-    for piece in pieces(stamp, encoded({"a": 1})):
-        follower.piece_came(12.5, piece)
+    for piece in split_plan(stamp, encode_plan({"a": 1})):
+        follower.on_piece(12.5, piece)
     assert follower.sections == {}  # pieces alone tell nothing of its time
-    follower.answer_came(12.5, 0, Answer(mark, *stamp))
+    follower.on_answer(12.5, 0, Answer(mark, *stamp))
     assert follower.now_in_force(12.9) == {"a": 1} and follower.now_in_force(13.1) is None
 
 
 def test_a_plan_too_long_for_its_pieces_is_turned_down_whole():
     with pytest.raises(PlanTooLarge):
-        encoded({"a": "x" * MAX_PIECES * PIECE_BYTES})
+        encode_plan({"a": "x" * MAX_PIECES * PIECE_BYTES})
     made, _ = world(10.0)
     process = made.processes[made.coordinator()]
     before = process.seat.writer.stamp()
@@ -113,16 +114,16 @@
 
 def test_a_spoilt_piece_is_asked_for_again():
     box = Box()
-    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold=3.0)
+    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold_s=3.0)
     stamp = ((4, 0, 9), 2)
-    follower.office_heard(10.0, stamp[0])
-    parts = pieces(stamp, encoded({"a": "x" * 300}))
-    bad = pieces(stamp, b"y" * len(parts[0].data))[0]
+    follower.on_leader_term(10.0, stamp[0])
+    parts = split_plan(stamp, encode_plan({"a": "x" * 300}))
+    bad = split_plan(stamp, b"y" * len(parts[0].data))[0]
     bad.count, bad.check = parts[0].count, parts[0].check
-    follower.answer_came(10.1, 0, Answer(box.sent[-1][1].mark, *stamp))
+    follower.on_answer(10.1, 0, Answer(box.sent[-1][1].mark, *stamp))
     for piece in [bad, *parts[1:]]:
-        follower.piece_came(10.2, piece)
-    assert follower.parts is None and follower.sections == {}
+        follower.on_piece(10.2, piece)
+    assert follower.assembly is None and follower.sections == {}
     for piece in parts:
-        follower.piece_came(10.3, piece)
+        follower.on_piece(10.3, piece)
     assert follower.sections == {"a": "x" * 300}
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -6,7 +6,7 @@
 import asyncio
 import sys
 
-from firwalk.cluster import lease, plan
+from firwalk.cluster import lease, plan, plan_follower
 from firwalk.dispatcher import dispatcher
 from firwalk.net import clients
 from firwalk.policy import policy
@@ -121,21 +121,21 @@
 def plan_applied_by_halves():
     import msgspec
 
-    real = plan.PlanFollower.take
+    real = plan_follower.PlanFollower.take
 
     def take(self, now, stamp, text, since):
         sections = msgspec.json.decode(text)
-        if self.office[1] != self.seat:
+        if self.office[1] != self.node_id:
             for name in list(sections)[1:]:
                 sections[name] = self.sections.get(name)
         return real(self, now, stamp, msgspec.json.encode(sections, order="deterministic"), since)
 
-    plan.PlanFollower.take = take
+    plan_follower.PlanFollower.take = take
 
 
 def follower_goes_back():
     """Takes over whatever comes, by turns with the plan before."""
-    real = plan.PlanFollower.take
+    real = plan_follower.PlanFollower.take
     before = []
 
     def take(self, now, stamp, text, since):
@@ -143,11 +143,11 @@
         if done:
             before.append((stamp, text))
             if len(before) > 1:
-                self.stamp = plan.NONE
+                self.stamp = plan.NO_PLAN
                 real(self, now, *before[-2], now)
         return done
 
-    plan.PlanFollower.take = take
+    plan_follower.PlanFollower.take = take
 
 
 def gives_a_zone_more_than_it_bears():
--- a/tests/golden/test_golden_nodes.py
+++ b/tests/golden/test_golden_nodes.py
@@ -184,12 +184,12 @@
 
 def test_plan_is_written():
     """Sections are JSON without blanks, keys in order at each level."""
-    assert plan.encoded(SECTIONS) == PLAN
+    assert plan.encode_plan(SECTIONS) == PLAN
 
 
 def test_plan_in_pieces():
     """A plan is cut at 176 bytes; each piece has the term, the version, its number, their count, the CRC."""
-    assert plan.pieces((TERM, 9), PLAN) == [
+    assert plan.split_plan((TERM, 9), PLAN) == [
         messages.Piece(TERM, 9, 0, 2, 1455944189, PLAN[:176]),
         messages.Piece(TERM, 9, 1, 2, 1455944189, PLAN[176:]),
     ]
@@ -197,17 +197,17 @@
 
 def test_empty_plan_is_one_piece():
     """No bytes at all are one piece of none, with the CRC 0."""
-    assert plan.pieces((TERM, 1), b"") == [messages.Piece(TERM, 1, 0, 1, 0, b"")]
+    assert plan.split_plan((TERM, 1), b"") == [messages.Piece(TERM, 1, 0, 1, 0, b"")]
 
 
 def test_plan_put_together():
     """Pieces in any order make the plan; the mask has a bit for each that is there."""
-    first, last = plan.pieces((TERM, 9), PLAN)
+    first, last = plan.split_plan((TERM, 9), PLAN)
     parts = plan.PlanAssembly(last)
     parts.add(last)
-    assert (parts.mask(), parts.whole()) == (0b10, None)
+    assert (parts.mask(), parts.assemble()) == (0b10, None)
     parts.add(first)
-    assert (parts.mask(), parts.whole()) == (0b11, PLAN)
+    assert (parts.mask(), parts.assemble()) == (0b11, PLAN)
 
 
 @pytest.mark.parametrize(
@@ -252,7 +252,7 @@
         b'{"away":{"1":0.1235},"modes":[[0,0,0,0],[3,2,0,3],[0,0,3,0]],"panic":true,"shares":{"'
         b'0":{"0":0.75,"1":0.3333},"1":{}}}'
     )
-    assert plan.encoded(whole.section()) == text
+    assert plan.encode_plan(whole.section()) == text
     read = zones.Zones(zones.ZonePolicy((0, 0, 1)))
     read.resume(100.0, msgspec.json.decode(text))
     assert [(zone.mode, zone.step, zone.drained, zone.filed, zone.flaps) for zone in read.all] == [
@@ -265,9 +265,9 @@
 def test_section_of_budgets():
     """Version and checksum of the contracts in force, and of those that a change brings."""
     old, new = quotas.ContractSet(3, 0xDEADBEEF, (), ()), quotas.ContractSet(4, 17, (), ())
-    assert plan.encoded(quotas.section(old)) == b'{"check":3735928559,"version":3}'
+    assert plan.encode_plan(quotas.section(old)) == b'{"check":3735928559,"version":3}'
     text = b'{"beside":[4,17],"check":3735928559,"version":3}'
-    assert plan.encoded(quotas.section(old, new)) == text
+    assert plan.encode_plan(quotas.section(old, new)) == text
     told = msgspec.json.decode(text)
     assert (quotas.in_force(told), quotas.beside(told)) == ((3, 0xDEADBEEF), (4, 17))
 
@@ -285,7 +285,7 @@
         b'"number":1,"of":2,"report":[],"stage":0,"state":"going","what":"v2","why":"","zones":'
         b'"ABA"}}'
     )
-    assert plan.encoded({"stages": roll.section}) == text
+    assert plan.encode_plan({"stages": roll.section}) == text
     heir = rollout.Rollout(rollout.RolloutPolicy(), [0], 3, lambda name: (change, 17, []))
     heir.resumed(20.0, msgspec.json.decode(text)["stages"])
     assert heir.section == roll.section
