--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -154,7 +154,7 @@
 
     def _may_hold(self) -> list[int]:
         """All but those that left: they handed back what they had."""
-        return [member.seat for member in self.members.all if member.state is not State.LEFT]
+        return [member.node_id for member in self.members.all if member.state is not State.LEFT]
 
     def _resume_dealing(self, now: float) -> None:
         """By what the plan says is in force, as soon as this node has all of it."""
@@ -385,10 +385,10 @@
             self.writer,
         )
         acts = {
-            m.Ping: lambda now, seat, generation, got: members.ping_came(now, seat, got),
-            m.Ack: lambda now, seat, generation, got: members.ack_came(now, seat, got),
-            m.PingRequest: lambda now, seat, generation, got: members.ask_came(now, seat, got),
-            m.Nack: lambda now, seat, generation, got: members.nack_came(now, got),
+            m.Ping: lambda now, seat, generation, got: members.on_ping(now, seat, got),
+            m.Ack: lambda now, seat, generation, got: members.on_ack(now, seat, got),
+            m.PingRequest: lambda now, seat, generation, got: members.on_ping_request(now, seat, got),
+            m.Nack: lambda now, seat, generation, got: members.on_nack(now, got),
             m.Answer: lambda now, seat, generation, got: follower.on_answer(now, seat, got),
             m.Piece: lambda now, seat, generation, got: follower.on_piece(now, got),
             m.CommandResult: lambda now, seat, generation, got: self._said(got),
@@ -426,7 +426,7 @@
         if sender >= self.seats:
             return
         if sender != self.seat:  # a candidate asks its own voter the same way as the others
-            self.members.heard(now, sender, generation, incarnation)
+            self.members.on_header(now, sender, generation, incarnation)
         if isinstance(message, m.Ping | m.Ack):
             self.follower.on_leader_term(now, message.office)
             if self.writer is not None:
--- a/firwalk/cluster/members.py
+++ b/firwalk/cluster/members.py
@@ -1,18 +1,21 @@
-"""Who is up, at a cost for each node that does not grow with the fleet.
+"""Cluster membership and failure detection, at a cost per node that does not grow with the cluster.
 
 Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (DSN 2002); Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
-Detection" (DSN 2018 workshop, arXiv:1707.00788). Departures: `docs/cluster.md`.
+Detection" (DSN 2018 workshop, arXiv:1707.00788). Departures are listed in `docs/cluster.md`.
 
-No I/O; a method for each thing that can happen, with the time first; acts through `cluster.host.Host`.
+No I/O: one method for each thing that can happen, with the time first; effects go through
+`firwalk.cluster.host.Host`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from math import ceil, log, log10
+from typing import Generic, NamedTuple, TypeVar
 
 from firwalk.cluster.host import Host, State
+from firwalk.cluster.member import Member, Probe, Requester, Suspicion
 from firwalk.cluster.messages import (
     MAX_UPDATES,
     NOBODY,
@@ -25,314 +28,340 @@
 )
 from firwalk.cluster.random_source import RandomSource
 
-HELPERS = 3  # others that are asked to ask one that does not answer
-SUSPECT_TIMES = 4.0  # periods, times the logarithm of the fleet, that a suspected one has at least
-SUSPECT_MOST = 6.0  # times that, while no other node suspects it too
-CONFIRM = 3  # further nodes whose suspicion brings it down to the least
-SPREAD = 3  # times the logarithm of the fleet that each piece of news is sent on
-WORST_HEALTH = 8  # steps by which a node that is itself slow waits longer
-AGAIN_EVERY = 4  # one in so many rounds asks somebody who is down or has left
+INDIRECT_PROBES = 3  # members that are asked to ping one that does not answer
+SUSPICION_MIN_PERIODS = 4.0  # times the logarithm of the cluster size
+SUSPICION_MAX_FACTOR = 6.0  # of that, while no other node suspects the member too
+CONFIRMATIONS = 3  # further suspecting nodes that shorten the suspicion to its minimum
+DISSEMINATION = 3  # times the logarithm of the cluster size: how often an update is passed on
+MAX_HEALTH_SCORE = 8  # steps by which a node that is itself slow waits longer
+DOWN_PROBE_ROUNDS = 4  # one in so many rounds probes a member that is down or has left
+LATE_WAKE_GRACE_PERIODS = 2
+RECHECKS_PER_PERIOD = 10  # of a suspicion whose end was postponed
 
+Context = TypeVar("Context")
 
-class Member:
-    """One seat as this node sees it."""
 
-    def __init__(self, seat: int):
-        self.seat, self.state, self.incarnation, self.generation = seat, State.DOWN, 0, 0
-        self.met = False  # anything was heard of it at all
-        self.suspected_at, self.suspecters = 0.0, {}
+class DueTimer(NamedTuple, Generic[Context]):
+    """A timer of this module, with the time at which it should fire."""
 
-    def word(self) -> MembershipUpdate:
-        return self.seat, self.incarnation, self.generation, int(self.state)
-
-
-class Probe:
-    """One question to one seat, until its period is over; `asker`: for whom, if it is another's question."""
-
-    def __init__(self, number: int, member: Member, asker: int | None = None, asked_as: int = 0):
-        self.number, self.member, self.asker, self.asked_as = number, member, asker, asked_as
-        self.answered, self.helpers, self.nacks = False, 0, 0
+    when: float
+    act: Callable[[float, Context], None]
+    about: Context
 
 
 class Members:
-    """`period`: seconds between questions; `answer`: seconds in which one is answered directly."""
+    """The members of the cluster, and the probing that detects their failures.
+
+    `period`: seconds between probes; `answer`: seconds in which a direct ping is answered; `office` returns
+    the newest leader's term that this node knows of.
+    """
 
     def __init__(
         self,
         host: Host,
-        seat: int,
-        seats: int,
+        node_id: int,
+        cluster_size: int,
         generation: int,
-        chance: RandomSource,
+        random_source: RandomSource,
         *,
         period: float,
         answer: float,
     ):
-        self.host, self.chance, self.period, self.answer = host, chance, period, answer
-        self.all = [Member(number) for number in range(seats)]
-        self.me = self.all[seat]
-        self.me.state, self.me.generation, self.me.met = State.UP, generation, True
-        self.health, self.number, self.rounds, self.turn = 0, 0, 0, 0
-        self.order: list[Member] = []
-        self.entry = seat  # where the next entries of the table are taken from
+        self.host = host
+        self.random_source = random_source
+        self.period = period
+        self.answer = answer
+        self.all = [Member(number) for number in range(cluster_size)]
+        self.me = self.all[node_id]
+        self.me.state = State.UP
+        self.me.generation = generation
+        self.me.is_known = True
+        self.health_score = 0  # 0: this node itself responds in time
+        self.last_number = 0
+        self.rounds = 0
+        self.probe_order: list[Member] = []
+        self.probe_index = 0
+        self.table_index = node_id  # where the next entries of the whole table are taken from
         self.probes: dict[int, Probe] = {}
-        self.fresh: dict[Member, int] = {}  # news, and how often each is still to be sent on
-        self.grace_until = 0.0  # a node that woke late believes no silence before that
-        self.leaving = False
+        self.pending_updates: dict[Member, int] = {}  # how often each is still to be passed on
+        self.grace_until = 0.0  # until then silence proves nothing: this node woke late
+        self.is_leaving = False
         self.office: Callable[[], Ballot] = lambda: NOBODY
 
     def start(self, now: float) -> None:
-        self._note(self.me)
-        self._timer(now + self.chance.fraction() * self.period, self._round, None)
+        """Begin to probe, at a random point of the period."""
+        self._disseminate(self.me)
+        self._set_timer(now + self.random_source.fraction() * self.period, self._run_round, None)
 
-    # -- who is there ------------------------------------------------------------------------------------
+    # -- queries -----------------------------------------------------------------------------------------
 
     def up(self) -> list[int]:
-        """Seats that are up or only suspected, the own one among them."""
-        return [member.seat for member in self.all if member.state <= State.SUSPECTED]
+        """Return the node ids that are up or only suspected, the own one among them."""
+        return [member.node_id for member in self.all if member.state <= State.SUSPECTED]
 
     def counts(self) -> dict[str, int]:
+        """Return the number of members in each state, by the state's name in lower case."""
         states = [member.state for member in self.all]
         return {state.name.lower(): states.count(state) for state in State}
 
-    # -- rounds ------------------------------------------------------------------------------------------
+    # -- timers and local health -------------------------------------------------------------------------
 
-    def _timer(self, when: float, act: Callable, about: object) -> None:
-        self.host.set_timer(when, self._due, (when, act, about))
+    def _set_timer(self, when: float, act: Callable[[float, Context], None], about: Context) -> None:
+        self.host.set_timer(when, self._fire, DueTimer(when, act, about))
 
-    def _due(self, now: float, about: tuple) -> None:
-        """A process that slept past its timers cannot tell its own silence from the others'."""
-        when, act, rest = about
-        if now > when + self.period and now >= self.grace_until:
-            self.grace_until = now + 2 * self._stretched(self.period)
-            self._worse()
-        act(now, rest)
+    def _fire(self, now: float, timer: DueTimer[Context]) -> None:
+        """A process that was suspended past its timers cannot tell its own silence from the others'."""
+        if now > timer.when + self.period and now >= self.grace_until:
+            self.grace_until = now + LATE_WAKE_GRACE_PERIODS * self._scaled(self.period)
+            self._degrade_health()
+        timer.act(now, timer.about)
 
-    def _worse(self, by: int = 1) -> None:
-        self.health = min(self.health + by, WORST_HEALTH)
+    def _degrade_health(self) -> None:
+        self.health_score = min(self.health_score + 1, MAX_HEALTH_SCORE)
 
-    def _stretched(self, span: float) -> float:
-        return span * (1 + self.health)
+    def _scaled(self, duration: float) -> float:
+        """Lifeguard's local health multiplier."""
+        return duration * (1 + self.health_score)
 
-    def _next(self) -> Member | None:
-        """In a shuffled round, so that each is asked within a bounded time; those down now and then."""
+    # -- probing -----------------------------------------------------------------------------------------
+
+    def _next_target(self) -> Member | None:
+        """Round robin in a shuffled order, so that each member is probed within a bounded time."""
         self.rounds += 1
-        if self.rounds % AGAIN_EVERY == 0:
+        if self.rounds % DOWN_PROBE_ROUNDS == 0:
             gone = [member for member in self.all if member.state >= State.DOWN]
             if gone:
-                return gone[self.chance.uint32() % len(gone)]
+                return gone[self.random_source.uint32() % len(gone)]
         for _ in range(len(self.all) + 1):
-            if self.turn >= len(self.order):
-                self.order, self.turn = self.chance.shuffled(self.all), 0
-            member, self.turn = self.order[self.turn], self.turn + 1
-            if member is not self.me and (member.state <= State.SUSPECTED or not member.met):
+            if self.probe_index >= len(self.probe_order):
+                self.probe_order = self.random_source.shuffled(self.all)
+                self.probe_index = 0
+            member = self.probe_order[self.probe_index]
+            self.probe_index += 1
+            if member is not self.me and (member.state <= State.SUSPECTED or not member.is_known):
                 return member
         return None
 
-    def _round(self, now: float, _: None) -> None:
-        if self.leaving:
+    def _run_round(self, now: float, _: None) -> None:
+        if self.is_leaving:
             return
-        member, span = self._next(), self._stretched(self.period)
+        member = self._next_target()
+        duration = self._scaled(self.period)
         if member is not None:
-            probe = self._ask(member)
-            self._timer(now + min(self._stretched(self.answer), span / 2), self._unanswered, probe)
-            self._timer(now + span, self._over, probe)
-        self._timer(now + span, self._round, None)
-
-    def _ask(self, member: Member, asker: int | None = None, asked_as: int = 0) -> Probe:
-        self.number += 1
-        probe = self.probes[self.number] = Probe(self.number, member, asker, asked_as)
-        self.host.tell(member.seat, Ping(probe.number, self.office(), self._news(member)))
+            probe = self._ping(member)
+            timeout = min(self._scaled(self.answer), duration / 2)
+            self._set_timer(now + timeout, self._probe_indirectly, probe)
+            self._set_timer(now + duration, self._end_probe, probe)
+        self._set_timer(now + duration, self._run_round, None)
+
+    def _ping(self, member: Member, requester: Requester | None = None) -> Probe:
+        self.last_number += 1
+        probe = Probe(self.last_number, member, requester)
+        self.probes[probe.number] = probe
+        self.host.tell(member.node_id, Ping(probe.number, self.office(), self._updates_for(member)))
         return probe
 
-    def _unanswered(self, now: float, probe: Probe) -> None:
-        """Others may reach it where this node cannot."""
-        if probe.answered or probe.member.state >= State.DOWN:
+    def _probe_indirectly(self, now: float, probe: Probe) -> None:
+        """Others may reach the member where this node cannot."""
+        if probe.is_answered or probe.member.state >= State.DOWN:
             return
-        helpers = self.chance.sample(
-            [m for m in self.all if m.state is State.UP and m is not self.me and m is not probe.member],
-            HELPERS,
-        )
+        candidates = [
+            member
+            for member in self.all
+            if member.state is State.UP and member is not self.me and member is not probe.member
+        ]
+        helpers = self.random_source.sample(candidates, INDIRECT_PROBES)
         probe.helpers = len(helpers)
         for helper in helpers:
-            self.host.tell(helper.seat, PingRequest(probe.number, probe.member.seat, self._news(helper)))
+            request = PingRequest(probe.number, probe.member.node_id, self._updates_for(helper))
+            self.host.tell(helper.node_id, request)
 
-    def _over(self, now: float, probe: Probe) -> None:
+    def _end_probe(self, now: float, probe: Probe) -> None:
         self.probes.pop(probe.number, None)
-        if probe.answered:
-            self.health = max(self.health - 1, 0)
+        if probe.is_answered:
+            self.health_score = max(self.health_score - 1, 0)
             return
         if now < self.grace_until:
             return
         if probe.helpers and not probe.nacks:
-            self._worse()  # not even those that this one asked for help: its own link, or itself
-        member = probe.member
-        if member.state is State.UP:
-            self._suspect(now, member, self.me.seat)
+            self._degrade_health()  # not even the helpers answered: the fault may be on this side
+        if probe.member.state is State.UP:
+            self._suspect(now, probe.member, self.me.node_id)
 
     # -- suspicion ---------------------------------------------------------------------------------------
 
-    def _suspect(self, now: float, member: Member, by: int) -> None:
-        member.state, member.suspected_at, member.suspecters = State.SUSPECTED, now, {by: None}
-        self._note(member)
-        self.host.event("suspected", seat=member.seat, incarnation=member.incarnation, by=by)
-        self._timer(now + self._patience(member), self._look, (member, member.incarnation))
-
-    def _patience(self, member: Member) -> float:
-        """Lifeguard's: shorter with each further node that suspects it too."""
-        least = SUSPECT_TIMES * max(1.0, log10(len(self.all))) * self._stretched(self.period)
-        heard = min(log(len(member.suspecters)) / log(CONFIRM + 1), 1.0)
-        return least * (SUSPECT_MOST - (SUSPECT_MOST - 1.0) * heard)
-
-    def _look(self, now: float, about: tuple) -> None:
-        member, incarnation = about
-        if member.state is not State.SUSPECTED or member.incarnation != incarnation:
+    def _suspect(self, now: float, member: Member, suspecter: int) -> None:
+        member.state = State.SUSPECTED
+        member.suspected_at = now
+        member.suspecters = {suspecter: None}
+        self._disseminate(member)
+        self.host.event("suspected", seat=member.node_id, incarnation=member.incarnation, by=suspecter)
+        timeout = self._suspicion_timeout(member)
+        self._set_timer(now + timeout, self._check_suspicion, Suspicion(member, member.incarnation))
+
+    def _suspicion_timeout(self, member: Member) -> float:
+        """Lifeguard's: shorter with each further node that suspects the member too."""
+        minimum = SUSPICION_MIN_PERIODS * max(1.0, log10(len(self.all))) * self._scaled(self.period)
+        confirmed = min(log(len(member.suspecters)) / log(CONFIRMATIONS + 1), 1.0)
+        return minimum * (SUSPICION_MAX_FACTOR - (SUSPICION_MAX_FACTOR - 1.0) * confirmed)
+
+    def _check_suspicion(self, now: float, suspicion: Suspicion) -> None:
+        member = suspicion.member
+        if member.state is not State.SUSPECTED or member.incarnation != suspicion.incarnation:
             return
-        due = max(member.suspected_at + self._patience(member), self.grace_until)
-        if now < due:
-            self._timer(max(due, now + self.period / 10), self._look, about)
+        ends_at = max(member.suspected_at + self._suspicion_timeout(member), self.grace_until)
+        if now < ends_at:
+            recheck_at = max(ends_at, now + self.period / RECHECKS_PER_PERIOD)
+            self._set_timer(recheck_at, self._check_suspicion, suspicion)
             return
         member.state = State.DOWN
-        self._note(member)
-        self.host.event("down", seat=member.seat, incarnation=member.incarnation)
-
-    # -- what comes --------------------------------------------------------------------------------------
-
-    def heard(self, now: float, seat: int, generation: int, incarnation: int) -> bool:
-        """Any datagram's head. False: it comes from before what is known of the seat."""
-        member = self.all[seat]
-        known = member.met and member.incarnation
-        if member.met and (
-            incarnation < known
-            or incarnation == known
-            and member.state >= State.DOWN
-            and generation == member.generation
-        ):
-            return False  # it is told so by the answer, and goes above that
-        if member.met and incarnation == known and generation == member.generation:
-            return True  # a suspicion is its own to answer
-        if member.met and incarnation == known and generation != member.generation and member.generation:
-            return False  # two lives of one seat: the new one goes above the old one when it is told
-        self._alive(now, member, incarnation, generation)
+        self._disseminate(member)
+        self.host.event("down", seat=member.node_id, incarnation=member.incarnation)
+
+    # -- messages ----------------------------------------------------------------------------------------
+
+    def on_header(self, now: float, node_id: int, generation: int, incarnation: int) -> bool:
+        """Any datagram's header; returns False if it is older than what is known of the sender."""
+        member = self.all[node_id]
+        if member.is_known and incarnation < member.incarnation:
+            return False
+        if member.is_known and incarnation == member.incarnation:
+            if generation == member.generation:
+                # One that is down learns so from the answer and raises its incarnation; a suspected one
+                # refutes the suspicion itself.
+                return member.state < State.DOWN
+            if member.generation:
+                return False  # the new generation raises its incarnation above the old one's when it is told
+        self._mark_up(now, member, incarnation, generation)
         return True
 
-    def _alive(self, now: float, member: Member, incarnation: int, generation: int) -> None:
-        new = member.generation != generation
-        before = member.state
-        member.state, member.incarnation, member.generation, member.met = (
-            State.UP,
-            incarnation,
-            generation,
-            True,
-        )
+    def _mark_up(self, now: float, member: Member, incarnation: int, generation: int) -> None:
+        is_new = member.generation != generation
+        previous = member.state
+        member.state = State.UP
+        member.incarnation = incarnation
+        member.generation = generation
+        member.is_known = True
         member.suspecters = {}
-        self._note(member)
-        if new or before is not State.UP:
-            self.host.event("up", seat=member.seat, incarnation=incarnation, life=generation, new=new)
-
-    def ping_came(self, now: float, sender: int, message: Ping) -> None:
-        self.news_came(now, message.news, sender)
-        self.host.tell(sender, Ack(message.number, self.office(), self._news(self.all[sender])))
-
-    def ask_came(self, now: float, sender: int, message: PingRequest) -> None:
-        self.news_came(now, message.news, sender)
+        self._disseminate(member)
+        if is_new or previous is not State.UP:
+            self.host.event("up", seat=member.node_id, incarnation=incarnation, life=generation, new=is_new)
+
+    def on_ping(self, now: float, sender: int, message: Ping) -> None:
+        """Acknowledge a ping."""
+        self.on_updates(now, message.news, sender)
+        self.host.tell(sender, Ack(message.number, self.office(), self._updates_for(self.all[sender])))
+
+    def on_ping_request(self, now: float, sender: int, message: PingRequest) -> None:
+        """Ping a member on the sender's behalf."""
+        self.on_updates(now, message.news, sender)
         if message.seat >= len(self.all) or self.all[message.seat] is self.me:
             return
-        probe = self._ask(self.all[message.seat], sender, message.number)
-        self._timer(now + self.answer, self._no_answer_for, probe)
+        probe = self._ping(self.all[message.seat], Requester(sender, message.number))
+        self._set_timer(now + self.answer, self._end_requested_probe, probe)
 
-    def _no_answer_for(self, now: float, probe: Probe) -> None:
+    def _end_requested_probe(self, now: float, probe: Probe) -> None:
         self.probes.pop(probe.number, None)
-        if not probe.answered:
-            self.host.tell(probe.asker, Nack(probe.asked_as))
+        if not probe.is_answered and probe.requester is not None:
+            self.host.tell(probe.requester.node_id, Nack(probe.requester.number))
 
-    def ack_came(self, now: float, sender: int, message: Ack) -> None:
-        self.news_came(now, message.news, sender)
+    def on_ack(self, now: float, sender: int, message: Ack) -> None:
+        """A ping was answered, directly or through a helper."""
+        self.on_updates(now, message.news, sender)
         probe = self.probes.get(message.number)
-        # Through a helper the answer has the question's number, and the helper's seat.
-        if probe is None or probe.answered or sender != probe.member.seat and not probe.helpers:
+        if probe is None or probe.is_answered:
             return
-        probe.answered = True
-        if probe.asker is not None:
-            self.host.tell(probe.asker, Ack(probe.asked_as, self.office(), self._news(self.all[probe.asker])))
-
-    def nack_came(self, now: float, message: Nack) -> None:
+        # Through a helper the ack has the probe's number and the helper's node id.
+        if sender != probe.member.node_id and not probe.helpers:
+            return
+        probe.is_answered = True
+        requester = probe.requester
+        if requester is not None:
+            updates = self._updates_for(self.all[requester.node_id])
+            self.host.tell(requester.node_id, Ack(requester.number, self.office(), updates))
+
+    def on_nack(self, now: float, message: Nack) -> None:
+        """A helper is up, though the member does not answer it either."""
         probe = self.probes.get(message.number)
         if probe is not None:
             probe.nacks += 1
 
-    def news_came(self, now: float, news: list[MembershipUpdate], sender: int) -> None:
-        for seat, incarnation, generation, state in news:
-            if seat < len(self.all):
-                self._news_of(now, self.all[seat], incarnation, generation, State(state), sender)
+    def on_updates(self, now: float, updates: list[MembershipUpdate], sender: int) -> None:
+        """Take over what the sender knows of the members."""
+        for node_id, incarnation, generation, state in updates:
+            if node_id < len(self.all):
+                self._apply_update(now, self.all[node_id], incarnation, generation, State(state), sender)
 
-    def _news_of(
+    def _apply_update(
         self, now: float, member: Member, incarnation: int, generation: int, state: State, sender: int
     ) -> None:
         if member is self.me:
-            self._news_of_me(now, incarnation, generation, state)
+            self._refute(now, incarnation, generation, state)
             return
-        known = (member.incarnation, member.state) if member.met else (-1, State.UP)
+        known = (member.incarnation, member.state) if member.is_known else (-1, State.UP)
         if (incarnation, state) <= known:
-            if state is State.SUSPECTED and member.state is State.SUSPECTED and incarnation == known[0]:
+            if state is State.SUSPECTED and (incarnation, member.state) == (known[0], State.SUSPECTED):
                 member.suspecters.setdefault(sender, None)
-                self._timer(now, self._look, (member, incarnation))
+                self._set_timer(now, self._check_suspicion, Suspicion(member, incarnation))
             return
         if state is State.UP:
-            self._alive(now, member, incarnation, generation)
+            self._mark_up(now, member, incarnation, generation)
             return
-        member.incarnation, member.generation, member.met = incarnation, generation, True
+        member.incarnation = incarnation
+        member.generation = generation
+        member.is_known = True
         if state is State.SUSPECTED:
             self._suspect(now, member, sender)
             return
-        before, member.state = member.state, state
-        self._note(member)
-        if before < State.DOWN:
-            self.host.event(state.name.lower(), seat=member.seat, incarnation=incarnation)
-
-    def _news_of_me(self, now: float, incarnation: int, generation: int, state: State) -> None:
-        """What others think of this node; a former life's word counts as well, and is gone above."""
-        mine = generation == self.me.generation
-        if (
-            self.leaving
-            or incarnation < self.me.incarnation
-            or mine
-            and (state is State.UP or incarnation > self.me.incarnation)
-        ):
+        previous = member.state
+        member.state = state
+        self._disseminate(member)
+        if previous < State.DOWN:
+            self.host.event(state.name.lower(), seat=member.node_id, incarnation=incarnation)
+
+    def _refute(self, now: float, incarnation: int, generation: int, state: State) -> None:
+        """Answer what others believe of this node, or of its former generation, with a higher incarnation."""
+        if self.is_leaving or incarnation < self.me.incarnation:
+            return
+        is_own_generation = generation == self.me.generation
+        if is_own_generation and (state is State.UP or incarnation > self.me.incarnation):
             return
         self.me.incarnation = incarnation + 1
-        self._note(self.me)
-        if mine:
-            self._worse()  # somebody missed its answers: perhaps it is slow itself
-        self.host.event("answered", incarnation=self.me.incarnation, mine=mine)
-
-    # -- news --------------------------------------------------------------------------------------------
-
-    def _note(self, member: Member) -> None:
-        self.fresh[member] = SPREAD * ceil(log10(len(self.all) + 1))
-
-    def _news(self, to: Member) -> list[MembershipUpdate]:
-        """What it is thought of the other one itself first, then the freshest, then the table in turn."""
-        chosen = {to: None} if to.met and to is not self.me else {}
-        for member in sorted(self.fresh, key=self.fresh.__getitem__, reverse=True):
+        self._disseminate(self.me)
+        if is_own_generation:
+            self._degrade_health()  # its answers were missed: it may be slow itself
+        self.host.event("answered", incarnation=self.me.incarnation, mine=is_own_generation)
+
+    # -- dissemination -----------------------------------------------------------------------------------
+
+    def _disseminate(self, member: Member) -> None:
+        self.pending_updates[member] = DISSEMINATION * ceil(log10(len(self.all) + 1))
+
+    def _updates_for(self, receiver: Member) -> list[MembershipUpdate]:
+        """What is known of the receiver itself first, then the freshest updates, then the table in turn."""
+        chosen: dict[Member, None] = {}
+        if receiver.is_known and receiver is not self.me:
+            chosen[receiver] = None
+        for member in sorted(self.pending_updates, key=self.pending_updates.__getitem__, reverse=True):
             if len(chosen) >= MAX_UPDATES:
                 break
-            if member is not to:
+            if member is not receiver:
                 chosen[member] = None
-                self.fresh[member] -= 1
-                if self.fresh[member] <= 0:
-                    del self.fresh[member]
+                self.pending_updates[member] -= 1
+                if self.pending_updates[member] <= 0:
+                    del self.pending_updates[member]
         for _ in range(min(len(self.all), MAX_UPDATES)):
             if len(chosen) >= MAX_UPDATES // 2:
                 break
-            self.entry = (self.entry + 1) % len(self.all)
-            if self.all[self.entry].met:
-                chosen[self.all[self.entry]] = None
-        return [member.word() for member in chosen]
+            self.table_index = (self.table_index + 1) % len(self.all)
+            if self.all[self.table_index].is_known:
+                chosen[self.all[self.table_index]] = None
+        return [member.to_update() for member in chosen]
 
     def leave(self, now: float) -> None:
-        """This node ends in good order: some others are told, and pass it on."""
-        self.leaving, self.me.state = True, State.LEFT
-        others = [m for m in self.all if m.state is State.UP]
-        for member in self.chance.sample(others, 2 * HELPERS):
-            self.host.tell(member.seat, Ping(0, self.office(), [self.me.word()]))
+        """Leave in good order: some others are told and pass it on."""
+        self.is_leaving = True
+        self.me.state = State.LEFT
+        others = [member for member in self.all if member.state is State.UP]
+        for member in self.random_source.sample(others, 2 * INDIRECT_PROBES):
+            self.host.tell(member.node_id, Ping(0, self.office(), [self.me.to_update()]))
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -115,12 +115,12 @@
         sender=st.integers(1, 3),
     )
     def news(self, seat, incarnation, generation, state, sender):
-        self.members.news_came(self.now, [(seat, incarnation, generation, state)], sender)
+        self.members.on_updates(self.now, [(seat, incarnation, generation, state)], sender)
         self._check()
 
     @rule(seat=st.integers(1, 3), incarnation=st.integers(0, 6), generation=st.integers(1, 3))
     def heard(self, seat, incarnation, generation):
-        self.members.heard(self.now, seat, generation, incarnation)
+        self.members.on_header(self.now, seat, generation, incarnation)
         self._check()
 
     @rule(by=st.sampled_from((0.1, 1.0, 30.0)))
@@ -134,10 +134,10 @@
     def _check(self):
         assert self.members.me.state is State.UP
         for member in self.members.all[1:]:
-            if member.met:
+            if member.is_known:
                 now = (member.incarnation, int(member.state))
-                assert now >= self.known[member.seat]
-                self.known[member.seat] = now
+                assert now >= self.known[member.node_id]
+                self.known[member.node_id] = now
 
 
 TestWords = Words.TestCase
