--- /dev/null
+++ b/firwalk/cluster/operator_commands.py
@@ -0,0 +1,61 @@
+"""Operators' commands on their way from any node to the leader.
+
+No I/O: effects go through `firwalk.cluster.host.Host`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple, TypeAlias
+
+from firwalk.cluster.host import Host
+from firwalk.cluster.messages import NOBODY, CommandResult, OperatorCommand, RolloutCommand
+from firwalk.cluster.plan_follower import PlanFollower
+
+MAX_ATTEMPTS = 6
+RETRY_INTERVAL_S = 0.25
+
+Command: TypeAlias = OperatorCommand | RolloutCommand
+OnResult: TypeAlias = Callable[[bool, str], None]  # whether it was carried out, and what is said
+
+
+class PendingCommand(NamedTuple):
+    """A command that waits for the leader's result."""
+
+    command: Command
+    attempts_left: int
+
+
+class CommandSender:
+    """Sends commands to the leader until it answers."""
+
+    def __init__(self, host: Host, follower: PlanFollower):
+        self.host = host
+        self.follower = follower
+        self.last_number = 0
+        self.callbacks: dict[int, OnResult] = {}  # of pending commands, by number
+
+    def send(self, now: float, make_command: Callable[[int], Command], on_result: OnResult) -> None:
+        """Send the command that `make_command` builds for a number."""
+        self.last_number += 1
+        self.callbacks[self.last_number] = on_result
+        self._attempt(now, PendingCommand(make_command(self.last_number), MAX_ATTEMPTS))
+
+    def _attempt(self, now: float, pending: PendingCommand) -> None:
+        """A datagram may be lost; to carry out a command twice has the same effect as once."""
+        command, attempts_left = pending
+        if command.number not in self.callbacks:
+            return
+        leader_term = self.follower.office
+        if not attempts_left or leader_term == NOBODY:
+            on_result = self.callbacks.pop(command.number)
+            on_result(False, "no coordinator answers; nothing may have been done")
+            return
+        self.host.tell(leader_term[1], command)
+        self.host.set_timer(now + RETRY_INTERVAL_S, self._attempt, PendingCommand(command, attempts_left - 1))
+
+    def on_result(self, message: CommandResult) -> None:
+        """The leader's result; a duplicate is ignored."""
+        callback = self.callbacks.pop(message.number, None)
+        if callback is not None:
+            callback(message.done, message.text)
--- a/firwalk/lab/virtual.py
+++ b/firwalk/lab/virtual.py
@@ -1,6 +1,6 @@
 """The cluster's own code in virtual time: seats on a network and on clocks with faults, all chance by a seed.
 
-A heap of events drives `firwalk.cluster.cluster_member.Seat`; equal times go in the order of their
+A heap of events drives `firwalk.cluster.cluster_member.ClusterMember`; equal times go in the order of their
 making, so a run
 repeats exactly. The network loses, delays, doubles and reorders; links are cut one way; processes pause, die
 and start from nothing; clocks run at different speeds. Times are seconds of the world's clock.
