--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from firwalk.cluster import lease, plan
+from firwalk.cluster import lease, plan, plan_follower, plan_publisher
 from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.messages import NOBODY, Accept, Promise
 
@@ -22,88 +22,88 @@
 @_of
 def voter_grants_at_once_after_its_start(seat):
     if seat.voter:
-        seat.voter.quiet_until = 0.0
+        seat.voter.silent_until = 0.0
 
 
 @_of
 def voter_forgets_what_it_accepted(seat):
     if seat.voter:
-        seat.voter.holder = lambda now: None
+        seat.voter.lease_holder = lambda now: None
 
 
 @_of
 def voter_accepts_below_its_promise(seat):
     voter = seat.voter
 
-    def propose_came(now, sender, message):
-        if now >= voter.quiet_until:
-            voter.accepted = voter.last = message.ballot
+    def on_propose(now, sender, message):
+        if now >= voter.silent_until:
+            voter.accepted = voter.last_accepted = message.ballot
             voter.accepted_until = now + message.length / 1e3
             voter.host.tell(sender, Accept(message.ballot))
 
     if voter:
-        voter.propose_came = propose_came
+        voter.on_propose = on_propose
 
 
 @_of
 def voter_promises_any_ballot(seat):
     voter = seat.voter
 
-    def prepare_came(now, sender, ballot):
-        if now >= voter.quiet_until:
+    def on_prepare(now, sender, ballot):
+        if now >= voter.silent_until:
             voter.promised = ballot
-            voter.host.tell(sender, Promise(ballot, voter.holder(now)))
+            voter.host.tell(sender, Promise(ballot, voter.lease_holder(now)))
 
     if voter:
-        voter.prepare_came = prepare_came
+        voter.on_prepare = on_prepare
 
 
 @_of
 def voter_counts_half_of_the_length(seat):
     voter = seat.voter
 
-    def propose_came(now, sender, message):
-        lease.Acceptor.propose_came(voter, now, sender, message)
+    def on_propose(now, sender, message):
+        lease.Acceptor.on_propose(voter, now, sender, message)
         if voter.accepted == message.ballot:
             voter.accepted_until = now + message.length / 2e3
 
     if voter:
-        voter.propose_came = propose_came
+        voter.on_propose = on_propose
 
 
 @_of
 def holder_counts_from_the_last_accept(seat):
     candidate = seat.candidate
 
-    def accept_came(now, sender, message):
-        candidate.began = now
-        lease.Proposer.accept_came(candidate, now, sender, message)
+    def on_accept(now, sender, message):
+        candidate.proposing_since = now
+        lease.Proposer.on_accept(candidate, now, sender, message)
 
     if candidate:
-        candidate.accept_came = accept_came
+        candidate.on_accept = on_accept
 
 
 @_of
 def holder_holds_for_two_lengths(seat):
     if seat.candidate:
-        seat.candidate.own *= 2
+        seat.candidate.own_lease_s *= 2
 
 
 @_of
 def minority_is_enough(seat):
     if seat.candidate:
-        seat.candidate._majority = lambda of: len(of) >= len(seat.candidate.voters) // 2
+        seat.candidate._is_quorum = lambda supporters: len(supporters) >= len(seat.candidate.voters) // 2
 
 
 @_of
 def candidate_passes_over_another_holder(seat):
     candidate = seat.candidate
 
-    def promise_came(now, sender, generation, message):
-        lease.Proposer.promise_came(candidate, now, sender, generation, Promise(message.ballot, None))
+    def on_promise(now, sender, generation, message):
+        lease.Proposer.on_promise(candidate, now, sender, generation, Promise(message.ballot, None))
 
     if candidate:
-        candidate.promise_came = promise_came
+        candidate.on_promise = on_promise
 
 
 @_of
@@ -116,21 +116,21 @@
 @_of
 def follower_goes_back(seat):
     def take(now, stamp, text, since):
-        seat.follower.stamp = plan.NONE
-        return plan.PlanFollower.take(seat.follower, now, stamp, text, since)
+        seat.follower.stamp = plan.NO_PLAN
+        return plan_follower.PlanFollower.take(seat.follower, now, stamp, text, since)
 
     seat.follower.take = take
-    seat.follower.piece_came = lambda now, piece: _any_piece(seat.follower, now, piece)
+    seat.follower.on_piece = lambda now, piece: _any_piece(seat.follower, now, piece)
 
 
 def _any_piece(follower, now, piece):
-    parts = follower.parts
+    parts = follower.assembly
     if parts is None or parts.stamp != (piece.term, piece.version):
-        follower.parts = plan.PlanAssembly(piece)
-    follower.parts.add(piece)
-    text = follower.parts.whole()
+        follower.assembly = plan.PlanAssembly(piece)
+    follower.assembly.add(piece)
+    text = follower.assembly.assemble()
     if text is not None:
-        follower.take(now, follower.parts.stamp, text, now)
+        follower.take(now, follower.assembly.stamp, text, now)
 
 
 @_of
@@ -142,7 +142,7 @@
         sections = msgspec.json.decode(text)
         for name in [name for name in sections if name in follower.sections][1:]:
             sections[name] = follower.sections[name]
-        return plan.PlanFollower.take(
+        return plan_follower.PlanFollower.take(
             follower, now, stamp, msgspec.json.encode(sections, order="deterministic"), since
         )
 
@@ -154,16 +154,16 @@
     """Puts together what comes, whichever plan a piece belongs to."""
     follower = seat.follower
 
-    def piece_came(now, piece):
-        old = follower.parts.got if follower.parts is not None else {}
-        parts = follower.parts = plan.PlanAssembly(piece)
-        parts.got = {number: data for number, data in old.items() if number < piece.count}
+    def on_piece(now, piece):
+        old = follower.assembly.received if follower.assembly is not None else {}
+        parts = follower.assembly = plan.PlanAssembly(piece)
+        parts.received = {number: data for number, data in old.items() if number < piece.count}
         parts.add(piece)
-        if len(parts.got) == piece.count:
-            text = b"".join(parts.got[number] for number in range(piece.count))
+        if len(parts.received) == piece.count:
+            text = b"".join(parts.received[number] for number in range(piece.count))
             follower.take(now, parts.stamp, text, now)
 
-    follower.piece_came = piece_came
+    follower.on_piece = on_piece
 
 
 @_of
@@ -171,14 +171,14 @@
     """Two plans under one stamp."""
     writer = seat.writer
 
-    def set_(now, name, section):
-        done = plan.PlanPublisher.set(writer, now, name, section)
+    def set_section(now, name, section):
+        done = plan_publisher.PlanPublisher.set_section(writer, now, name, section)
         if done and writer.version > 1:
             writer.version -= 1
         return done
 
     if writer:
-        writer.set = set_
+        writer.set_section = set_section
 
 
 ALL = [
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -6,7 +6,7 @@
 import asyncio
 import sys
 
-from firwalk.cluster import lease, plan
+from firwalk.cluster import lease, plan, plan_follower
 from firwalk.dispatcher import dispatcher
 from firwalk.net import clients
 from firwalk.policy import policy, retries, selection, slow_start
@@ -104,40 +104,40 @@
 
     def begin(self, *args, **named):
         real(self, *args, **named)
-        self.quiet_until = 0.0
+        self.silent_until = 0.0
 
     lease.Acceptor.__init__ = begin
-    lease.Proposer.start = lambda self, now: self.host.set_timer(now + 0.05, self._look, None)
+    lease.Proposer.start = lambda self, now: self.host.set_timer(now + 0.05, self._check, None)
 
 
 def holder_acts_after_its_end():
     """Woken past its lease it goes on in the old name."""
-    lease.Proposer.holds = lambda self, now: self.until > 0.0
-    lease.Proposer._end = lambda self, now, until: None
+    lease.Proposer.is_holder = lambda self, now: self.held_until > 0.0
+    lease.Proposer._expire = lambda self, now, until: None
 
 
 def minority_is_enough():
-    lease.Proposer._majority = lambda self, of: len(of) >= len(self.voters) // 2
+    lease.Proposer._is_quorum = lambda self, supporters: len(supporters) >= len(self.voters) // 2
 
 
 def plan_applied_by_halves():
     import msgspec
 
-    real = plan.PlanFollower.take
+    real = plan_follower.PlanFollower.take
 
     def take(self, now, stamp, text, since):
         sections = msgspec.json.decode(text)
-        if self.office[1] != self.seat:
+        if self.office[1] != self.node_id:
             for name in list(sections)[1:]:
                 sections[name] = self.sections.get(name)
         return real(self, now, stamp, msgspec.json.encode(sections, order="deterministic"), since)
 
-    plan.PlanFollower.take = take
+    plan_follower.PlanFollower.take = take
 
 
 def follower_goes_back():
     """Takes over whatever comes, by turns with the plan before."""
-    real = plan.PlanFollower.take
+    real = plan_follower.PlanFollower.take
     before = []
 
     def take(self, now, stamp, text, since):
@@ -145,11 +145,11 @@
         if done:
             before.append((stamp, text))
             if len(before) > 1:
-                self.stamp = plan.NONE
+                self.stamp = plan.NO_PLAN
                 real(self, now, *before[-2], now)
         return done
 
-    plan.PlanFollower.take = take
+    plan_follower.PlanFollower.take = take
 
 
 def gives_a_zone_more_than_it_bears():
