--- a/firwalk/policy/executor.py
+++ b/firwalk/policy/executor.py
@@ -4,6 +4,7 @@
 
 from collections import deque
 from collections.abc import Mapping
+from dataclasses import dataclass, field
 
 from firwalk.policy.enums import EndpointState
 
@@ -16,15 +17,18 @@
 MAX_SLOW_START_SENDS = 64
 
 
+LoadReport = Mapping[str, float]
+
+
+@dataclass(eq=False)
 class Zone:
     """A zone: its lag, the mean load of a slot by others, and its executors that cannot be reached."""
 
-    def __init__(self) -> None:
-        self.lag = 0.0  # seconds
-        self.lag_at = 0.0
-        self.mean = 0.0  # load by others for each slot
-        self.missed: list[Executor] = []  # connections failed since one last succeeded
-        self.away_until = 0.0
+    lag: float = 0.0  # seconds
+    lag_at: float = 0.0
+    mean: float = 0.0  # load by others for each slot
+    missed: list[Executor] = field(default_factory=list)  # connections failed since one last succeeded
+    away_until: float = 0.0
 
     def lag_now(self, now: float) -> float:
         """Lag in seconds, fading to nothing without news."""
@@ -89,7 +93,7 @@
         """Speed times (1 - utilisation by others)."""
         return self.speed * max(1.0 - self.others / self.slots, MIN_FREE_SHARE)
 
-    def report(self, now: float, values: Mapping[str, float], part: float) -> None:
+    def report(self, now: float, values: LoadReport, part: float) -> None:
         """Update the load by others; own work is in the sum of estimates and would count twice.
 
         `part` is this node's part of all work: the more of a report is own, the slower it settles.
--- a/firwalk/policy/load_reports.py
+++ b/firwalk/policy/load_reports.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from dataclasses import dataclass
 
-from firwalk.policy.executor import Executor, Zone
+from firwalk.policy.executor import Executor, LoadReport
 from firwalk.policy.executor_set import ExecutorSet
 from firwalk.policy.interface import Host
 from firwalk.policy.policy_config import SMALL_FLEET, PolicyConfig
@@ -18,14 +18,12 @@
 FAR_POLLS = 1
 
 
+@dataclass(slots=True)
 class ZoneLoad:
     """Sums over the warm executors of a zone."""
 
-    __slots__ = ("others", "slots")
-
-    def __init__(self) -> None:
-        self.others = 0.0
-        self.slots = 0.0
+    others: float = 0.0
+    slots: float = 0.0
 
 
 class LoadReports:
@@ -42,7 +40,7 @@
         self.samples_seen = 0
         host.set_timer(now + (config.node_index + 1) / config.node_count * ROUND_S, self.run_round, None)
 
-    def apply(self, now: float, executor: Executor, report: Mapping[str, float]) -> None:
+    def apply(self, now: float, executor: Executor, report: LoadReport) -> None:
         """Take over a load report."""
         executor.report(now, report, self.own_share)
 
@@ -86,8 +84,7 @@
             zone_load.others += executor.others
             zone_load.slots += executor.slots
         if executor.reported_at < now - ROUND_S:
-            zone: Zone = executor.zone
-            executor.others += STALE_WEIGHT * (zone.mean * executor.slots - executor.others)
+            executor.others += STALE_WEIGHT * (executor.zone.mean * executor.slots - executor.others)
 
     def poll(self) -> None:
         """Poll some executors in turn; a poll is paid for by a request or a round."""
--- a/firwalk/policy/policy.py
+++ b/firwalk/policy/policy.py
@@ -7,12 +7,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-
 from firwalk.policy.admission import Admission
 from firwalk.policy.endpoint_polling import EndpointPolling
 from firwalk.policy.enums import EndpointState, Outcome
-from firwalk.policy.executor import Executor, Zone
+from firwalk.policy.executor import Executor, LoadReport
 from firwalk.policy.executor_set import ExecutorSet
 from firwalk.policy.interface import Host
 from firwalk.policy.load_reports import LoadReports
@@ -38,7 +36,8 @@
     def __init__(self, host: Host, seed: int, now: float, config: PolicyConfig, limits: PolicyLimits) -> None:
         self.host = host
         self.config = config
-        self.limits = limits
+        self.copies = config.allows_hedging
+        self.tells_start = config.reports_starts
         self.random = RandomSource(seed)
         self.executor_set = ExecutorSet(config, self.random)
         self.slow_start = SlowStart(config, now)
@@ -49,42 +48,14 @@
         self.admission = Admission(host, config, limits, self.executor_set, self.selection, self.retries)
         self.endpoint_polling = EndpointPolling(host, config, self.random, now)
         self.load_reports = LoadReports(host, config, self.executor_set, self.slow_start, now)
-
-    @property
-    def request_classes(self) -> list[RequestClass]:
-        """The request classes, by their numbers."""
-        return self.limits.request_classes
-
-    @property
-    def max_attempts(self) -> int:
-        """Most attempts of a request."""
-        return self.limits.max_attempts
-
-    @property
-    def max_retry_after(self) -> float:
-        """Most seconds of Retry-After advice."""
-        return self.limits.max_retry_after_s
-
-    @property
-    def copies(self) -> bool:
-        """Whether requests may be hedged."""
-        return self.config.allows_hedging
-
-    @property
-    def tells_start(self) -> bool:
-        """Whether executors report the start of an attempt."""
-        return self.config.reports_starts
+        self.zones = self.executor_set.zones
+        self.reconfigure(limits)
 
     @property
     def misses(self) -> int:
         """Failed polls of the endpoint list in a row."""
         return self.endpoint_polling.misses
 
-    @property
-    def zones(self) -> dict[int, Zone]:
-        """All zones, by their numbers."""
-        return self.executor_set.zones
-
     @property
     def near(self) -> list[Executor]:
         """Ready executors in the own zone."""
@@ -98,6 +69,9 @@
     def reconfigure(self, limits: PolicyLimits) -> None:
         """Use other limits from now on; a request in progress keeps its class and number of attempts."""
         self.limits = limits
+        self.request_classes = limits.request_classes
+        self.max_attempts = limits.max_attempts
+        self.max_retry_after = limits.max_retry_after_s
         self.retries.limits = limits
         self.selection.limits = limits
         self.admission.limits = limits
@@ -138,17 +112,18 @@
         again: bool,
         key: bytes = b"",
     ) -> Request:
-        """Place a new request, or answer it at once.
-
-        `budget` is the seconds that its client waits; `cost` the hint (0: none); `again` marks a retry.
-        """
+        """Place or answer a request: `budget` is the time its client waits, `cost` a hint (0: none)."""
         limits = self.limits
-        request = self._make_request(
-            now, ref, limits.request_classes[request_class], budget, cost, slots, again
-        )
+        kind = limits.request_classes[request_class]
+        slots = max(slots, 1.0)
+        hint = cost or slots
+        cost = kind.cost(hint)
+        objective_at = now + min(self._objective(kind, budget, cost, again), budget)
+        draw = self.random.draw()
+        request = Request(ref, kind, hint, cost, slots, draw, objective_at, now + budget)
         if key:
             request.sticky_executors = self.sticky_executors.executors_for(key)
-        value = request.request_class.priority_weight * (request.work if limits.is_value_by_work else 1.0)
+        value = kind.priority_weight * (request.work if limits.is_value_by_work else 1.0)
         self.slow_start.record_arrival(now, request.work)
         self.retries.earn_move()
         self.selection.record_arrival(request.work, value)
@@ -156,36 +131,19 @@
         weight = self.host.admission_weight(request)
         request.value = value * (limits.over_quota_weight if is_over_quota else 1.0) * weight
         request.max_attempts = limits.max_attempts
-        if weight:
-            self._place(now, request)
-        else:
-            self._give_up(now, request)
+        self._place(now, request) if weight else self._give_up(now, request)
         if self.config.polls_load:
-            # For the next request: before the choice, executors without an answer yet would be first.
-            self.load_reports.poll()
+            self.load_reports.poll()  # after the choice, else executors without an answer yet would be first
         return request
 
-    def _make_request(
-        self,
-        now: float,
-        ref: object,
-        request_class: RequestClass,
-        budget: float,
-        cost_hint: float,
-        slots: float,
-        is_retry: bool,
-    ) -> Request:
-        hint = cost_hint or max(slots, 1.0)
-        cost = request_class.cost(hint)
-        request_class.most = max(request_class.most, budget)
-        objective = request_class.latency_objective + request_class.objective_stretch * cost
-        marks_retries = self.config.marks_retries
-        if is_retry or not marks_retries:  # its first attempt set the objective
-            full_budget = request_class.deadline if marks_retries else request_class.most
-            objective -= max(full_budget - budget, 0.0)
-        draw = self.random.draw()
-        objective_at = now + min(objective, budget)
-        return Request(ref, request_class, hint, cost, max(slots, 1.0), draw, objective_at, now + budget)
+    def _objective(self, kind: RequestClass, budget: float, cost: float, is_retry: bool) -> float:
+        """Seconds until the answer is wanted; a retry has what its first attempt left."""
+        kind.most = max(kind.most, budget)
+        objective = kind.latency_objective + kind.objective_stretch * cost
+        if not is_retry and self.config.marks_retries:
+            return objective
+        full_budget = kind.deadline if self.config.marks_retries else kind.most
+        return objective - max(full_budget - budget, 0.0)
 
     def _place(self, now: float, request: Request) -> None:
         executor = self._choose_warming_up(now, request)
@@ -321,7 +279,7 @@
         how: Outcome,
         took: float,
         complete: bool,
-        report: Mapping[str, float] | None,
+        report: LoadReport | None,
     ) -> None:
         """An attempt ended after `took` seconds; `complete`: its request has its answer."""
         request = attempt.request
@@ -353,12 +311,7 @@
             self.executor_set.candidates.mark_active(executor)
 
     def health_check_ended(
-        self,
-        now: float,
-        executor: Executor,
-        how: Outcome,
-        took: float,
-        report: Mapping[str, float] | None,
+        self, now: float, executor: Executor, how: Outcome, took: float, report: LoadReport | None
     ) -> None:
         """A load poll ended."""
         if how is Outcome.COMPLETED and report:
--- a/firwalk/policy/retries.py
+++ b/firwalk/policy/retries.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from firwalk.policy.enums import DeduplicationScope, Idempotency
 from firwalk.policy.executor import Executor
 from firwalk.policy.policy_config import PolicyConfig, PolicyLimits
@@ -11,25 +13,23 @@
 MAX_SAVED_MOVES = 3.0
 
 
+@dataclass(eq=False)
 class RetryLimits:
     """Which executor a request may be sent to again, and the budget for attempts that are not answers."""
 
-    def __init__(self, config: PolicyConfig, limits: PolicyLimits) -> None:
-        self.config = config
-        self.limits = limits
-        self.moves = MAX_SAVED_MOVES  # budget of hedged and moved attempts
+    config: PolicyConfig
+    limits: PolicyLimits
+    moves: float = MAX_SAVED_MOVES  # budget of hedged and moved attempts
 
     def earn_move(self) -> None:
         """Add what a new request allows."""
         self.moves = min(self.moves + MOVES_PER_REQUEST, MAX_SAVED_MOVES)
 
-    def may_retry(
-        self, now: float, request: Request, executor: Executor, is_replacement: bool = False
-    ) -> bool:
-        """Whether a request that was sent before may go to the executor, `is_replacement`: instead of one."""
+    def may_retry(self, now: float, request: Request, executor: Executor, is_move: bool = False) -> bool:
+        """Whether a request that was sent before may go to the executor, `is_move`: instead of another."""
         if len(request.attempts) >= min(self.limits.max_attempts, request.max_attempts):
             return False
-        if request.in_flight and not self.config.allows_hedging and not is_replacement:
+        if request.in_flight and not self.config.allows_hedging and not is_move:
             return False
         return self.is_safe(now, request, executor, request.attempts)
 
--- a/firwalk/policy/selection.py
+++ b/firwalk/policy/selection.py
@@ -15,10 +15,11 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import NamedTuple
 
 from firwalk.policy.enums import Idempotency
-from firwalk.policy.executor import GOSSIP_TTL_S, Executor
+from firwalk.policy.executor import GOSSIP_TTL_S, Executor, Zone
 from firwalk.policy.executor_set import ExecutorSet
 from firwalk.policy.policy_config import PolicyConfig, PolicyLimits
 from firwalk.policy.request import Attempt, Request
@@ -34,31 +35,27 @@
 
 
 class ReachCosts(NamedTuple):
-    """What reaching an executor costs a request, in seconds of load."""
+    """What reaching an executor costs a request, in seconds of load, and what it may wait."""
 
+    own_zone: Zone
+    stays_near: bool  # only executors of the own zone are compared
     crossing: float
     connection: float
     not_sticky: float
+    slack_part: float  # of its slack that it may wait
 
 
+@dataclass(eq=False)
 class Selection:
     """Compares executors for a request, and learns their speeds from completed attempts."""
 
-    def __init__(
-        self,
-        config: PolicyConfig,
-        limits: PolicyLimits,
-        executor_set: ExecutorSet,
-        slow_start: SlowStart,
-        retries: RetryLimits,
-    ) -> None:
-        self.config = config
-        self.limits = limits
-        self.executor_set = executor_set
-        self.slow_start = slow_start
-        self.retries = retries
-        self.mean_cost = 0.0  # of requests: their work
-        self.mean_value = 0.0
+    config: PolicyConfig
+    limits: PolicyLimits
+    executor_set: ExecutorSet
+    slow_start: SlowStart
+    retries: RetryLimits
+    mean_cost: float = 0.0  # of requests: their work
+    mean_value: float = 0.0
 
     def record_arrival(self, work: float, value: float) -> None:
         """Update the means with a new request."""
@@ -104,33 +101,36 @@
         return lag + missing * executor.work / (executor.held * executor.slots)
 
     def _reach_costs(self, request: Request, time_left: float) -> ReachCosts:
+        executor_set = self.executor_set
+        crossing_price = self.limits.crossing_price
+        own_zone = request.preferred_zone or executor_set.own_zone
         price = max(time_left, 0.0) * self.mean_value / max(request.value, MIN_VALUE)
+        is_too_dear = crossing_price * self.mean_value > request.value
+        # What earns less for its work than the mean may wait only a part of its slack, or dear ones wait.
+        slack_part = min(request.value * self.mean_cost / (request.work * self.mean_value), 1.0) ** 2
         return ReachCosts(
-            price * self.limits.crossing_price,
+            own_zone,
+            is_too_dear and bool(executor_set.near) and own_zone is executor_set.own_zone,
+            price * crossing_price,
             price * self.limits.connection_price,
             STICKY_COST * self.mean_cost if request.sticky_executors else 0.0,
+            slack_part,
         )
 
     def choose(
-        self, now: float, request: Request, among: list[Executor], is_replacement: bool = False
+        self, now: float, request: Request, among: list[Executor], is_move: bool = False
     ) -> Executor | None:
         """The executor with the least load among those in time, or None."""
-        executor_set = self.executor_set
-        reports_starts = self.config.reports_starts
         time_left = request.objective_at - now
-        own_zone = request.preferred_zone or executor_set.own_zone
-        # What earns less for its work than the mean may wait only a part of its slack, or dear ones wait.
-        slack_part = min(request.value * self.mean_cost / (request.work * self.mean_value), 1.0) ** 2
-        crossing, connection, not_sticky = self._reach_costs(request, time_left)
-        is_home = own_zone is executor_set.own_zone
-        is_crossing_too_dear = self.limits.crossing_price * self.mean_value > request.value
-        stays_near = is_crossing_too_dear and bool(executor_set.near) and is_home
+        costs = self._reach_costs(request, time_left)
+        own_zone, stays_near, crossing, connection, not_sticky, slack_part = costs
         is_unrepeatable = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         sticky = request.sticky_executors
-        zone_lags = {zone: zone.lag_now(now) for zone in executor_set.zones.values()}
+        zone_lags = {zone: zone.lag_now(now) for zone in self.executor_set.zones.values()}
         best: Executor | None = None
         best_load = best_answer = lag = 0.0
         ties = 0
+        is_home = own_zone is self.executor_set.own_zone
         for executor in among if is_home else sorted(among, key=lambda e: e.zone is not own_zone):
             zone = executor.zone
             load = (0.0 if zone is own_zone else crossing) + (0.0 if executor.idle else connection)
@@ -140,29 +140,41 @@
             load += executor.work / executor.slots
             if is_unrepeatable and now < executor.warned_at + GOSSIP_TTL_S:
                 load += time_left
-            if reports_starts:  # work of others that waits there is not in the own sum
+            if self.config.reports_starts:  # work of others that waits there is not in the own sum
                 lag = executor.lag_now(now, zone_lags[zone])
                 load += lag
             if best is not None and load > best_load:
                 continue
-            if not self._is_eligible(now, request, executor, is_replacement):
-                continue
-            speed = executor.speed  # not the rate: a busy executor makes a request wait, it is not slower
-            if executor.cold_until > now:
-                speed *= self.slow_start.warmth(now, executor)
-            wait = self._wait_after(lag, executor, request.slots)
-            if wait > (time_left - request.cost / speed) * slack_part:
+            wait = self._wait_in_time(now, request, executor, lag, slack_part, is_move)
+            if wait is None:
                 continue
             ties = ties + 1 if best is not None and load == best_load else 1
             answer = wait + request.cost / executor.rate()
             if ties == 1 or answer < best_answer:
                 best, best_load, best_answer = executor, load, answer
-            least = zone_lags[zone] + (0.0 if zone is own_zone else crossing)
-            if ties >= MAX_TIES and load <= min(least, crossing if executor_set.far else least):
+            if ties >= MAX_TIES and load <= self._least_load(zone_lags[zone], zone is own_zone, crossing):
                 break
         return best
 
-    def _is_eligible(self, now: float, request: Request, executor: Executor, is_replacement: bool) -> bool:
+    def _wait_in_time(
+        self, now: float, request: Request, executor: Executor, lag: float, slack_part: float, is_move: bool
+    ) -> float | None:
+        """Seconds in the queue; None where the request may not go there, or would be late."""
+        if not self._is_eligible(now, request, executor, is_move):
+            return None
+        speed = executor.speed  # not the rate: a busy executor makes a request wait, it is not slower
+        if executor.cold_until > now:
+            speed *= self.slow_start.warmth(now, executor)
+        wait = self._wait_after(lag, executor, request.slots)
+        is_in_time = wait <= (request.objective_at - now - request.cost / speed) * slack_part
+        return wait if is_in_time else None
+
+    def _least_load(self, zone_lag: float, is_own_zone: bool, crossing: float) -> float:
+        """The load that no executor further on in the scan can be below."""
+        least = zone_lag + (0.0 if is_own_zone else crossing)
+        return min(least, crossing if self.executor_set.far else least)
+
+    def _is_eligible(self, now: float, request: Request, executor: Executor, is_move: bool) -> bool:
         """Whether the request may go to the executor at all."""
         if executor.away_until > now or executor.full_until > now or executor.zone.away_until > now:
             return False
@@ -171,7 +183,7 @@
             return False
         if request_class.work_kind >= 0 and executor.kind != request_class.work_kind:
             return False
-        if request.attempts and not self.retries.may_retry(now, request, executor, is_replacement):
+        if request.attempts and not self.retries.may_retry(now, request, executor, is_move):
             return False
         return executor.cold_until <= now or self.slow_start.has_capacity(now, executor, request)
 
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -90,11 +90,11 @@
     slow_start.SlowStart.has_capacity = lambda self, now, executor, request, own_slots=0.0: True
     real = selection.Selection.choose
 
-    def choose(self, now, request, among, is_replacement=False):
+    def choose(self, now, request, among, is_move=False):
         executors = self.executor_set.near + self.executor_set.far
         ready = [e for e in executors if not request.attempts and e.came_up]
         newest = max(ready, key=lambda e: e.came_up, default=None)
-        return newest or real(self, now, request, among, is_replacement)
+        return newest or real(self, now, request, among, is_move)
 
     selection.Selection.choose = choose
 
