--- a/firwalk/policy/selection.py
+++ b/firwalk/policy/selection.py
@@ -126,6 +126,7 @@
         own_zone, stays_near, crossing, connection, not_sticky, slack_part = costs
         is_unrepeatable = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         sticky = request.sticky_executors
+        reports_starts = self.config.reports_starts
         zone_lags = {zone: zone.lag_now(now) for zone in self.executor_set.zones.values()}
         best: Executor | None = None
         best_load = best_answer = lag = 0.0
@@ -140,7 +141,7 @@
             load += executor.work / executor.slots
             if is_unrepeatable and now < executor.warned_at + GOSSIP_TTL_S:
                 load += time_left
-            if self.config.reports_starts:  # work of others that waits there is not in the own sum
+            if reports_starts:  # work of others that waits there is not in the own sum
                 lag = executor.lag_now(now, zone_lags[zone])
                 load += lag
             if best is not None and load > best_load:
@@ -160,10 +161,19 @@
         self, now: float, request: Request, executor: Executor, lag: float, slack_part: float, is_move: bool
     ) -> float | None:
         """Seconds in the queue; None where the request may not go there, or would be late."""
-        if not self._is_eligible(now, request, executor, is_move):
+        if executor.away_until > now or executor.full_until > now or executor.zone.away_until > now:
+            return None
+        kind = request.request_class
+        if executor.on_trial and (executor.held or kind.idempotency is Idempotency.NON_IDEMPOTENT):
+            return None
+        if kind.work_kind >= 0 and executor.kind != kind.work_kind:
+            return None
+        if request.attempts and not self.retries.may_retry(now, request, executor, is_move):
             return None
         speed = executor.speed  # not the rate: a busy executor makes a request wait, it is not slower
         if executor.cold_until > now:
+            if not self.slow_start.has_capacity(now, executor, request):
+                return None
             speed *= self.slow_start.warmth(now, executor)
         wait = self._wait_after(lag, executor, request.slots)
         is_in_time = wait <= (request.objective_at - now - request.cost / speed) * slack_part
@@ -174,19 +184,6 @@
         least = zone_lag + (0.0 if is_own_zone else crossing)
         return min(least, crossing if self.executor_set.far else least)
 
-    def _is_eligible(self, now: float, request: Request, executor: Executor, is_move: bool) -> bool:
-        """Whether the request may go to the executor at all."""
-        if executor.away_until > now or executor.full_until > now or executor.zone.away_until > now:
-            return False
-        request_class = request.request_class
-        if executor.on_trial and (executor.held or request_class.idempotency is Idempotency.NON_IDEMPOTENT):
-            return False
-        if request_class.work_kind >= 0 and executor.kind != request_class.work_kind:
-            return False
-        if request.attempts and not self.retries.may_retry(now, request, executor, is_move):
-            return False
-        return executor.cold_until <= now or self.slow_start.has_capacity(now, executor, request)
-
     def learn(self, now: float, attempt: Attempt, took: float) -> None:
         """Learn speeds from a completed attempt that took so many seconds, or was seen to start."""
         executor = attempt.executor
