--- a/firwalk/cluster/canary_analysis.py
+++ b/firwalk/cluster/canary_analysis.py
@@ -1,10 +1,11 @@
-"""Whether the nodes on a new version do worse than those on the old one, of the same zones in the same time.
+"""Whether nodes on a new version (canaries) do worse than those on the old one (the baseline), of the same
+zones in the same time.
 
 Sources: Wald, "Sequential Tests of Statistical Hypotheses" (Annals of Mathematical Statistics 16, 1945), for
 the bounds; McCullagh and Nelder, "Generalized Linear Models" (1989), 4.5, for the dispersion that divides the
-evidence, since nodes differ by more than chance. What was weighed: `docs/stages.md`.
+evidence, since nodes differ by more than chance. Alternatives: `docs/stages.md`.
 
-No I/O. Parts are parts of 1; times are compared by their natural logarithms.
+No I/O. Ratios are parts of 1; times are compared by their natural logarithms.
 """
 
 from __future__ import annotations
@@ -12,89 +13,61 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 from math import log
-
-LATE, ABANDONED, BOUNCED, ERRORS, ASSIGNMENTS, BAD, TIME = (
-    "late",
-    "abandoned",
-    "bounced",
-    "errors",
-    "assignments",
-    "bad",
-    "time",
+from typing import NamedTuple
+
+from firwalk.cluster.canary_counters import (
+    ABANDONED,
+    ALL,
+    ASSIGNMENTS,
+    BAD,
+    BOUNCED,
+    ERRORS,
+    LATE,
+    TIME,
+    Key,
+    Row,
+    Sums,
+    pooled,
 )
-ALL = 0  # in place of an offering: over all of them
-FURTHER = (1.0, 4.0)  # times the stated difference (first) that are tried: plain harm shows with few tasks
-LEAST = 5  # tasks of a node, with fewer its spread says nothing
-PRIOR = 4.0  # degrees of freedom by which the dispersion is held towards 1
-PAST = 50  # of what a node counted before, for its own past to tell anything
-OWN = 3.0  # times the spread by chance that its past must stand off its zone's to be its own
-NEARLY = 0.999  # the largest part that is looked for
-
-Key = tuple[str, int]  # a figure, and the checksum of an offering's name
+from firwalk.cluster.canary_evidence import evidence_for, possible, variance
+
+__all__ = [
+    "ABANDONED",
+    "ALL",
+    "ASSIGNMENTS",
+    "BAD",
+    "BOUNCED",
+    "ERRORS",
+    "LATE",
+    "TIME",
+    "CanaryAnalysis",
+    "HarmThresholds",
+    "Key",
+    "Pasts",
+    "Row",
+    "Verdict",
+]
+
+TESTED_FACTORS = (1.0, 4.0)  # times the threshold (first): plain harm shows with few requests
+MIN_NODE_COUNT = 5  # observations of a node, with fewer its spread says nothing
+PRIOR_FREEDOM = 4.0  # degrees of freedom by which the dispersion is held towards 1
+MIN_PAST_COUNT = 50  # observations of a node's past
+PAST_DEVIATIONS = 3.0  # standard deviations off its zone, from which a node's past is its own
+MIN_WITHIN = 1e-6
 
 
 class Verdict(IntEnum):
+    """As numbered in the plan."""
+
     UNSURE = 0
     FINE = 1
     WORSE = 2
 
 
-@dataclass
-class Sums:
-    """`count` of what was looked at, the sum of what was seen of it and of its squares."""
-
-    count: float = 0.0
-    seen: float = 0.0
-    squares: float = 0.0
-
-    def add(self, count: float, seen: float, squares: float = 0.0) -> None:
-        self.count, self.seen, self.squares = self.count + count, self.seen + seen, self.squares + squares
-
-    def mean(self) -> float:
-        return self.seen / self.count if self.count else 0.0
-
-
-@dataclass
-class Row:
-    """What one node counted of one offering since its life began. `times`, `squares`: sums of the logarithm
-    of the milliseconds until a task was finished, and of its square."""
-
-    offering: int
-    tasks: int = 0
-    late: int = 0
-    abandoned: int = 0
-    bounced: int = 0
-    errors: int = 0
-    assignments: int = 0
-    finished: int = 0
-    times: float = 0.0
-    squares: float = 0.0
-
-    def minus(self, other: Row) -> Row | None:
-        """What came since; None if these are not of one life."""
-        made = Row(self.offering, *(getattr(self, name) - getattr(other, name) for name in COUNTS))
-        return made if all(getattr(made, name) >= 0 for name in COUNTS[:7]) else None
-
-    def figures(self) -> dict[Key, tuple[float, float, float]]:
-        bad = self.late + self.abandoned + self.bounced
-        return {
-            (LATE, ALL): (self.tasks, self.late, 0.0),
-            (ABANDONED, ALL): (self.tasks, self.abandoned, 0.0),
-            (BOUNCED, ALL): (self.tasks, self.bounced, 0.0),
-            (ERRORS, ALL): (self.assignments, self.errors, 0.0),
-            (ASSIGNMENTS, ALL): (self.tasks, max(self.assignments - self.tasks, 0), 0.0),
-            (BAD, self.offering): (self.tasks, bad, 0.0),
-            (TIME, self.offering): (self.finished, self.times, self.squares),
-        }
-
-
-COUNTS = ("tasks", "late", "abandoned", "bounced", "errors", "assignments", "finished", "times", "squares")
-
-
 @dataclass(frozen=True)
 class HarmThresholds:
-    """How much more counts as worse: parts of the tasks (`errors`: of the assignments), more assignments a
-    task, times as long. `false_stop`, `miss`: chances, over all stages and for each."""
+    """From which difference a figure is worse: in parts of the requests (`errors`: of the attempts), further
+    attempts per request, times as long. `false_stop`, `miss`: chances, over all stages and for each."""
 
     late: float = 0.05
     abandoned: float = 0.03
@@ -107,162 +80,153 @@
     miss: float = 0.01
 
     def step(self, name: str) -> float:
-        return log(self.time) if name == TIME else getattr(self, name)
-
-
-Found = tuple[float, float, float]  # the evidence by the exact law, by the normal one, and as cautiously
-
-
-def _normal(new: Sums, old: Sums, step: float, variance: float) -> float:
-    """The evidence by the normal law of both means."""
-    return step * (new.mean() - old.mean() - step / 2) / (variance * (1.0 / new.count + 1.0 / old.count))
-
+        """The difference of the means that is tested, of the figure of this name."""
+        if name == TIME:
+            return log(self.time)
+        threshold: float = getattr(self, name)
+        return threshold
 
-def _parts(new: Sums, old: Sums, step: float) -> Found:
-    """The evidence for "a part that is larger by `step`" over "the same part": the binomial likelihood with
-    the old part as if known, and the normal one of both samples. The latter cautiously with the variance of
-    what lies between the two at least: of a zone without any, chance alone would seem to allow none, and its
-    word for "the same" outweighed whatever went wrong in another one."""
-    known = min((old.seen + 1.0) / (old.count + 2.0), NEARLY - 1e-3)
-    more = min(known + step, NEARLY)
-    exact = new.seen * log(more / known) + (new.count - new.seen) * log((1.0 - more) / (1.0 - known))
-    pooled = (old.seen + new.seen + 1.0) / (old.count + new.count + 2.0)
-    between = min(max(pooled, known + step / 2), max(pooled, 0.5))
-    return (exact, *(_normal(new, old, step, part * (1.0 - part)) for part in (pooled, between)))
 
+@dataclass(slots=True)
+class Side:
+    """One figure of one zone: by node, on the new version and on the old one."""
 
-def _rates(new: Sums, old: Sums, step: float) -> Found:
-    """The same of a number for each task, by Poisson's law."""
-    known = (old.seen + 1.0) / (old.count + 1.0)
-    exact = new.seen * log((known + step) / known) - new.count * step
-    pooled = (old.seen + new.seen + 1.0) / (old.count + new.count + 1.0)
-    return (exact, *(_normal(new, old, step, rate) for rate in (pooled, max(pooled, known + step / 2))))
-
+    new: dict[int, Sums] = field(default_factory=dict)
+    old: dict[int, Sums] = field(default_factory=dict)
 
-def _times(new: Sums, old: Sums, step: float) -> Found:
-    """The same of means, by the normal law; the spread is that within both."""
-    within = sum(max(one.squares - one.seen * one.mean(), 0.0) for one in (new, old))
-    found = _normal(new, old, step, max(within / max(new.count + old.count - 2.0, 1.0), 1e-4))
-    return found, found, found
 
+class NodeFigure(NamedTuple):
+    """A figure of one node."""
 
-LAWS = {TIME: _times, ASSIGNMENTS: _rates}
+    key: Key
+    zone: int
+    seat: int
 
 
-@dataclass
-class Side:
-    """One figure of one zone: by seat, on the new version and on the old one."""
+class Pasts:
+    """What each node counted before the rollout.
 
-    new: dict[int, Sums] = field(default_factory=dict)
-    old: dict[int, Sums] = field(default_factory=dict)
+    What stands off its zone by more than chance is the node's own, for example slower executors, and is
+    taken off what the node counts since. Without that, good versions were stopped on such nodes.
+    """
 
+    def __init__(self) -> None:
+        self.zones: dict[Key, dict[int, dict[int, Sums]]] = {}
+        self.offsets: dict[NodeFigure, float] = {}
 
-def _together(seats: dict[int, Sums]) -> Sums:
-    whole = Sums()
-    for one in seats.values():
-        whole.add(one.count, one.seen, one.squares)
-    return whole
+    def add(self, zone: int, seat: int, row: Row) -> None:
+        """Adds what a node counted before the rollout."""
+        for key, sample in row.figures().items():
+            if sample.size:
+                seats = self.zones.setdefault(key, {}).setdefault(zone, {})
+                seats.setdefault(seat, Sums()).add(*sample)
 
+    def own(self, key: Key, zone: int, seat: int) -> float:
+        """By how much the node's mean stands off; the same at each call."""
+        figure = NodeFigure(key, zone, seat)
+        if figure not in self.offsets:
+            self.offsets[figure] = _offset(key[0], self.zones.get(key, {}).get(zone, {}), seat)
+        return self.offsets[figure]
 
-def _within(name: str, whole: Sums) -> float:
-    """The variance of one of what was looked at, by the law of that figure."""
-    if name == TIME:
-        return max(whole.squares - whole.seen * whole.mean(), 0.0) / max(whole.count - 1.0, 1.0)
-    mean = max(whole.mean(), 1.0 / whole.count)
-    return mean if name == ASSIGNMENTS else mean * (1.0 - min(mean, NEARLY))
 
+def _offset(name: str, seats: dict[int, Sums], seat: int) -> float:
+    known = {other: sums for other, sums in seats.items() if sums.count >= MIN_PAST_COUNT}
+    own = known.get(seat)
+    others = pooled({other: sums for other, sums in known.items() if other != seat})
+    if own is None or not others.count:
+        return 0.0
+    difference = own.mean() - others.mean()
+    spread = variance(name, others) * (1.0 / own.count + 1.0 / others.count)
+    if difference * difference <= PAST_DEVIATIONS * PAST_DEVIATIONS * spread:
+        return 0.0
+    # Off the mean of all: off that of the others, each would be moved past the middle.
+    return own.mean() - pooled(known).mean()
 
-def _counted(name: str, whole: Sums) -> Sums:
-    """No fewer than none and no more than all, whatever was taken off for a node's past."""
-    most = float("inf") if name in (TIME, ASSIGNMENTS) else whole.count
-    return whole if name == TIME else Sums(whole.count, min(max(whole.seen, 0.0), most), whole.squares)
 
+class FigureSummary(NamedTuple):
+    """The means of both versions, weighted by what the new nodes of each zone did, and the observations
+    behind each."""
 
-class Pasts:
-    """What each node counted before the change: where it stood off its zone by more than chance has it, that
-    is its own, and is taken off what it counts since. A node on slower executors, compared alone, was stopped
-    for them (5 of 100 good ones, where nodes differ much)."""
+    new: float
+    old: float
+    new_count: float
+    old_count: float
 
-    def __init__(self) -> None:
-        self.zones: dict[Key, dict[int, dict[int, Sums]]] = {}
-        self.found: dict[tuple[Key, int, int], float] = {}
 
-    def add(self, zone: int, seat: int, row: Row) -> None:
-        for key, figures in row.figures().items():
-            if figures[0]:
-                self.zones.setdefault(key, {}).setdefault(zone, {}).setdefault(seat, Sums()).add(*figures)
+class EvidenceBounds(NamedTuple):
+    """Logarithms of likelihood ratios: the smaller one for a stop, the larger one for a pass."""
 
-    def own(self, key: Key, zone: int, seat: int) -> float:
-        """By how much the seat's mean stands off; the same at each asking."""
-        at = key, zone, seat
-        if at not in self.found:
-            self.found[at] = self._own(key, self.zones.get(key, {}).get(zone, {}), seat)
-        return self.found[at]
-
-    def _own(self, key: Key, seats: dict[int, Sums], seat: int) -> float:
-        seats = {other: sums for other, sums in seats.items() if sums.count >= PAST}
-        mine, others = seats.get(seat), _together({other: s for other, s in seats.items() if other != seat})
-        if mine is None or not others.count:
-            return 0.0
-        off = mine.mean() - others.mean()
-        spread = _within(key[0], others) * (1.0 / mine.count + 1.0 / others.count)
-        # Off the mean of all: off that of the others each would be moved past the middle.
-        return mine.mean() - _together(seats).mean() if off * off > OWN * OWN * spread else 0.0
+    for_stop: float
+    for_pass: float
 
 
 class CanaryAnalysis:
-    """Of one stage. `stages`: how many there are, among which the chance of a false stop is divided; `past`:
-    what the nodes counted before the change."""
+    """The sequential tests of one stage. `stages`: the number of analyses of the rollout, among which the
+    chance of a false stop is divided; `past`: what the nodes counted before it."""
 
-    def __init__(self, worse: HarmThresholds, stages: int, past: Pasts | None = None):
-        self.worse, self.stages, self.past = worse, max(stages, 1), past or Pasts()
+    def __init__(self, worse: HarmThresholds, stages: int, past: Pasts | None = None) -> None:
+        self.worse = worse
+        self.stages = max(stages, 1)
+        self.past = past or Pasts()
         self.zones: dict[Key, dict[int, Side]] = {}
-        self.fine: dict[Key, None] = {}  # found so at some look: a sequential test ends at its bound
+        self.fine: dict[Key, None] = {}  # passed in some round: a sequential test ends at its bound
 
     def add(self, zone: int, seat: int, new: bool, row: Row) -> None:
-        """What a node counted in a time in which the other side of its zone counted as well."""
-        for key, figures in row.figures().items():
-            if figures[0]:
-                side = self.zones.setdefault(key, {}).setdefault(zone, Side())
-                count, seen, squares = figures
-                if own := self.past.own(key, zone, seat):
-                    squares += count * own * own - 2.0 * own * seen
-                    seen -= count * own
-                (side.new if new else side.old).setdefault(seat, Sums()).add(count, seen, squares)
+        """Adds what a node counted in a time in which the other side of its zone counted as well."""
+        for key, (count, total, squares) in row.figures().items():
+            if not count:
+                continue
+            side = self.zones.setdefault(key, {}).setdefault(zone, Side())
+            if own := self.past.own(key, zone, seat):
+                squares += count * own * own - 2.0 * own * total
+                total -= count * own
+            (side.new if new else side.old).setdefault(seat, Sums()).add(count, total, squares)
 
     def _dispersion(self, key: Key) -> float:
-        """How much more the old nodes of a zone differ than chance has it; 1: as it has."""
-        square, freedom = 0.0, 0
+        """How much more the old nodes of a zone differ than by chance; 1: as by chance."""
+        square = 0.0
+        freedom = 0
         for side in self.zones[key].values():
-            whole, nodes = _together(side.old), [one for one in side.old.values() if one.count >= LEAST]
+            nodes = [sums for sums in side.old.values() if sums.count >= MIN_NODE_COUNT]
             if len(nodes) < 2:
                 continue
-            mean = whole.mean()
-            within = _within(key[0], whole)
-            square += sum(one.count * (one.mean() - mean) ** 2 for one in nodes) / max(within, 1e-6)
+            baseline = pooled(side.old)
+            mean = baseline.mean()
+            within = variance(key[0], baseline)
+            deviations = sum(node.count * (node.mean() - mean) ** 2 for node in nodes)
+            square += deviations / max(within, MIN_WITHIN)
             freedom += len(nodes) - 1
-        return max((square + PRIOR) / (freedom + PRIOR), 1.0)
-
-    def evidence(self, key: Key, times: float = 1.0) -> tuple[float, float]:
-        """Logarithms of the likelihood of worse (by so many times the stated difference) over the same: the
-        smaller of the two ways, for a stop, and the larger one, for a pass."""
-        exact, normal, cautious = 0.0, 0.0, 0.0
+        return max((square + PRIOR_FREEDOM) / (freedom + PRIOR_FREEDOM), 1.0)
+
+    def evidence(self, key: Key, times: float = 1.0) -> EvidenceBounds:
+        """The evidence for worse by `times` the threshold over the same."""
+        name = key[0]
+        step = self.worse.step(name) * times
+        exact = 0.0
+        normal = 0.0
+        cautious = 0.0
         for side in self.zones.get(key, {}).values():
-            new, old = (_counted(key[0], _together(seats)) for seats in (side.new, side.old))
-            if new.count and old.count and (key[0] != TIME or min(new.count, old.count) >= LEAST):
-                found = LAWS.get(key[0], _parts)(new, old, self.worse.step(key[0]) * times)
-                exact, normal, cautious = exact + found[0], normal + found[1], cautious + found[2]
+            new = possible(name, pooled(side.new))
+            old = possible(name, pooled(side.old))
+            if not _is_comparable(name, new, old):
+                continue
+            found = evidence_for(name, new, old, step)
+            exact = exact + found.exact
+            normal = normal + found.normal
+            cautious = cautious + found.cautious
         dispersion = self._dispersion(key) if key in self.zones else 1.0
-        return min(exact, cautious) / dispersion, max(exact, normal) / dispersion
+        return EvidenceBounds(min(exact, cautious) / dispersion, max(exact, normal) / dispersion)
 
     def _bounds(self) -> tuple[float, float]:
-        stop = self.worse.false_stop / (self.stages * max(len(self.zones), 1) * len(FURTHER))
+        """Of Wald's test, above which a figure is worse and below which it is fine."""
+        stop = self.worse.false_stop / (self.stages * max(len(self.zones), 1) * len(TESTED_FACTORS))
         return log((1.0 - self.worse.miss) / stop), log(self.worse.miss / (1.0 - stop))
 
     def verdict(self, key: Key) -> Verdict:
+        """Of one figure."""
         upper, lower = self._bounds()
-        found = [self.evidence(key, times) for times in FURTHER]
-        if any(low >= upper for low, _ in found):
+        found = [self.evidence(key, times) for times in TESTED_FACTORS]
+        if any(for_stop >= upper for for_stop, _ in found):
             return Verdict.WORSE
         if key in self.fine or found[0][1] <= lower:
             self.fine[key] = None
@@ -270,7 +234,7 @@
         return Verdict.UNSURE
 
     def judged(self) -> tuple[Verdict, Key | None]:
-        """Of all figures together: worse if one is, fine if all are; and the figure that says so. With
+        """Of all figures together: worse if one is, fine if all are; and the figure that decided. With
         nothing to compare it is unsure."""
         found = {key: self.verdict(key) for key in sorted(self.zones)}
         for verdict in (Verdict.WORSE, Verdict.UNSURE):
@@ -279,13 +243,25 @@
                     return verdict, key
         return (Verdict.FINE if found else Verdict.UNSURE), None
 
-    def shown(self, key: Key) -> tuple[float, float, float, float]:
-        """For people: the mean with the new version and with the old one, weighted by what the new nodes of
-        each zone did, and on how many each rests."""
-        new, old, counts = 0.0, 0.0, [0.0, 0.0]
+    def shown(self, key: Key) -> FigureSummary:
+        """The figure for operators."""
+        new = 0.0
+        old = 0.0
+        new_count = 0.0
+        old_count = 0.0
         for side in self.zones.get(key, {}).values():
-            mine, others = _together(side.new), _together(side.old)
-            if mine.count and others.count:
-                new, old = new + mine.seen, old + others.mean() * mine.count
-                counts = [counts[0] + mine.count, counts[1] + others.count]
-        return new / max(counts[0], 1.0), old / max(counts[0], 1.0), counts[0], counts[1]
+            canaries = pooled(side.new)
+            baseline = pooled(side.old)
+            if canaries.count and baseline.count:
+                new = new + canaries.total
+                old = old + baseline.mean() * canaries.count
+                new_count = new_count + canaries.count
+                old_count = old_count + baseline.count
+        weight = max(new_count, 1.0)
+        return FigureSummary(new / weight, old / weight, new_count, old_count)
+
+
+def _is_comparable(name: str, new: Sums, old: Sums) -> bool:
+    if not new.count or not old.count:
+        return False
+    return name != TIME or min(new.count, old.count) >= MIN_NODE_COUNT
--- a/firwalk/cluster/rollout_controller.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -1,79 +1,118 @@
-"""A node's part in changes by stages: what it counts of its tasks, what it tells, and which version it is to
-run by the plan that it follows.
+"""A node's part in rollouts: counts its requests, reports the counters, and tells which version it is to run.
 
-No I/O. Acts on a desk (`firwalk.dispatcher.dispatcher.Desk`), which is handed in. Times are seconds.
+No I/O. The dispatcher calls `RolloutCounters`. Times are seconds.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from math import log
-from typing import Any
+from typing import Any, NamedTuple
 from zlib import crc32
 
 from firwalk.cluster import messages as m
-from firwalk.cluster.canary_analysis import Row
+from firwalk.cluster.canary_counters import Row
 from firwalk.cluster.node_id_ranges import decode_ranges
 from firwalk.cluster.rollout import BACK, CONTRACTS, DONE, GOING, HELD, STOPPED, Rollout, RolloutPolicy
+from firwalk.cluster.rollout_policy import FileLookup
+from firwalk.cluster.rollout_section import RolloutSection
 
-SELDOM = 10  # reports between two tellings while nothing is changed
+IDLE_REPORT_INTERVALS = 10  # between two reports while nothing is changed
 MILLI = 1e3
-MOST_TIMES = 2**48  # of a sum that is told
+MAX_LOG_SUM = 2**48  # of a sum in a report
+MEMORY_UNIT_BYTES = 1e5
+MAX_MEMORY = 65535  # in these units
+
+MetricsRow = tuple[int, ...]  # as in `RolloutMetrics.rows`
 
 
 class RolloutCounters:
-    """Counts final answers and what they took; the desk tells of each."""
+    """Counts final answers and their times by request class; the dispatcher calls it for each."""
 
     def __init__(self) -> None:
-        self.offerings: dict[str, Row] = {}
+        self.rows_by_class: dict[str, Row] = {}
+
+    def of(self, request_class: str) -> Row:
+        """The counters of a request class, by its name."""
+        row = self.rows_by_class.get(request_class)
+        if row is None:
+            row = self.rows_by_class[request_class] = Row(crc32(request_class.encode()))
+        return row
+
+    def finished(self, request_class: str, attempts: int, took: float, late: bool) -> None:
+        """A request was completed after `took` seconds."""
+        row = self.of(request_class)
+        row.requests += 1
+        row.attempts += attempts
+        row.late += late
+        row.completed += 1
+        logarithm = log(max(took * MILLI, 1.0))
+        row.log_times += logarithm
+        row.log_time_squares += logarithm * logarithm
 
-    def of(self, offering: str) -> Row:
-        found = self.offerings.get(offering)
-        if found is None:
-            found = self.offerings[offering] = Row(crc32(offering.encode()))
-        return found
+    def bounced(self, request_class: str, attempts: int) -> None:
+        """A request was rejected."""
+        row = self.of(request_class)
+        row.requests += 1
+        row.rejected += 1
+        row.attempts += attempts
 
-    def finished(self, offering: str, assignments: int, took: float, late: bool) -> None:
-        one = self.of(offering)
-        one.tasks, one.assignments, one.late = one.tasks + 1, one.assignments + assignments, one.late + late
-        logarithm = log(max(took * MILLI, 1.0))
-        one.finished, one.times = one.finished + 1, one.times + logarithm
-        one.squares += logarithm * logarithm
+    def abandoned(self, request_class: str, attempts: int) -> None:
+        """A request failed with an unknown outcome."""
+        row = self.of(request_class)
+        row.requests += 1
+        row.failed += 1
+        row.attempts += attempts
 
-    def bounced(self, offering: str, assignments: int) -> None:
-        one = self.of(offering)
-        one.tasks, one.bounced = one.tasks + 1, one.bounced + 1
-        one.assignments += assignments
+    def erred(self, request_class: str) -> None:
+        """An attempt ended with an error."""
+        self.of(request_class).errors += 1
 
-    def abandoned(self, offering: str, assignments: int) -> None:
-        one = self.of(offering)
-        one.tasks, one.abandoned = one.tasks + 1, one.abandoned + 1
-        one.assignments += assignments
+    def rows(self) -> list[MetricsRow]:
+        """All counters, as they are reported."""
+        return [_metrics_row(row) for _, row in sorted(self.rows_by_class.items())]
 
-    def erred(self, offering: str) -> None:
-        self.of(offering).errors += 1
 
-    def rows(self) -> list[tuple[int, ...]]:
-        return [
-            (
-                c.offering,
-                c.tasks,
-                c.late,
-                c.abandoned,
-                c.bounced,
-                c.errors,
-                c.assignments,
-                c.finished,
-                min(int(c.times * MILLI), MOST_TIMES),
-                min(int(c.squares * MILLI), MOST_TIMES),
-            )
-            for _, c in sorted(self.offerings.items())
-        ]
+def _metrics_row(row: Row) -> MetricsRow:
+    return (
+        row.request_class,
+        row.requests,
+        row.late,
+        row.failed,
+        row.rejected,
+        row.errors,
+        row.attempts,
+        row.completed,
+        min(int(row.log_times * MILLI), MAX_LOG_SUM),
+        min(int(row.log_time_squares * MILLI), MAX_LOG_SUM),
+    )
+
+
+class RunningConfiguration(NamedTuple):
+    """The tag of the settings, and the version of the contracts that the node follows."""
+
+    tag: str
+    contracts: int
+
+
+class StagedContracts(NamedTuple):
+    """Contracts that a rollout brings: the versions from and to, and `done` or `stopped` once it is over."""
+
+    before: int
+    new: int
+    ended: str
+
+
+def _no_contracts() -> int:
+    return 0
 
 
 class RolloutController:
-    """One life of a seat. `release` and `tag`: what this process runs, and its configuration's tag; `zone`:
-    the node's; `memory()` in bytes; `named(name)` gives a change, its file's checksum, and its faults."""
+    """The part of one incarnation of a cluster member.
+
+    `release` and `tag`: what this process runs, and its settings' tag; `memory()` in bytes; `named(name)`
+    finds a rollout file, its checksum and its faults.
+    """
 
     def __init__(
         self,
@@ -84,111 +123,136 @@
         zone: int,
         memory: Callable[[], float],
         terms: RolloutPolicy,
-        named: Callable[[str], tuple[Any, int, list[str]]],
-    ):
-        self.seat, self.tally, self.release, self.tag, self.zone = seat, tally, release, tag, zone
-        self.memory, self.turn, self.was, self.told_to = memory, 0, ("", 0), m.NOBODY
-        self.contracts_version: Callable[[], int] = lambda: 0  # of those that this node goes by
-        self.roll: Rollout | None = None
+        named: FileLookup,
+    ) -> None:
+        self.seat = seat
+        self.tally = tally
+        self.release = release
+        self.tag = tag
+        self.zone = zone
+        self.memory = memory
+        self.intervals = 0  # since the last report
+        self.recorded = RunningConfiguration("", 0)
+        self.reported_office = m.NOBODY
+        self.contracts_version: Callable[[], int] = _no_contracts  # of those that this node follows
+        self.roll: Rollout | None = None  # at nodes that may become the coordinator
         if seat.writer is not None:
             self.roll = Rollout(terms, seat.candidate.voters, seat.seats, named, seat.host.event)
         seat.changing = self
 
     def start(self, now: float) -> None:
-        self._runs()
-        self.seat.host.set_timer(now, self._tell, None)
+        """Begins to report at regular times."""
+        self._record_configuration()
+        self.seat.host.set_timer(now, self._report, None)
+
+    def _configuration(self) -> RunningConfiguration:
+        return RunningConfiguration(self.tag(), self.contracts_version())
 
-    def _runs(self) -> None:
-        self.was = self.tag(), self.contracts_version()
-        self.seat.host.event("runs", release=self.release, tag=self.was[0], contracts=self.was[1])
+    def _record_configuration(self) -> None:
+        self.recorded = self._configuration()
+        self.seat.host.event(
+            "runs", release=self.release, tag=self.recorded.tag, contracts=self.recorded.contracts
+        )
 
     # -- what the plan wants -------------------------------------------------------------------------------
 
-    def section(self, now: float) -> dict[str, Any] | None:
+    def section(self, now: float) -> RolloutSection | None:
         """Of the plan in force; None: there is none, and nothing is to be changed now."""
         sections = self.seat.follower.now_in_force(now)
-        return None if sections is None else sections.get("stages", {})
+        if sections is None:
+            return None
+        section: RolloutSection = sections.get("stages", {})
+        return section
 
     def wanted(self, now: float) -> str:
-        """For the agent: `hold` (no plan in force), `nothing` (no change was ever asked for), or the change's
-        number, its kind, what this node is to run, and the change's state."""
+        """For the agent: `hold` (no plan in force), `nothing` (no rollout concerns it), or the rollout's
+        number, its kind, the version that this node is to run, and the rollout's state."""
         section = self.section(now)
         if section is None:
             return "hold"
         try:
-            new = self.seat.seat in decode_ranges(section["new"])
-            what = section["what"] if new else section["before"]
+            is_new = self.seat.seat in decode_ranges(section["new"])
+            version = section["what"] if is_new else section["before"]
             if section["kind"] == CONTRACTS:
-                return "nothing"  # the node itself goes over; its agent has no part in that
-            return f"{section['number']} {section['kind']} {what} {section['state']}"
+                return "nothing"  # The node itself changes its contracts.
+            return f"{section['number']} {section['kind']} {version} {section['state']}"
         except (KeyError, TypeError, ValueError):
             return "nothing"
 
-    # -- what it tells -------------------------------------------------------------------------------------
-
-    def _tell(self, now: float, _: None) -> None:
-        report, office = self.seat.follower.report, self.seat.follower.office
-        if (self.tag(), self.contracts_version()) != self.was:
-            self._runs()
-            self.turn = SELDOM  # what the coordinator knows of this node holds no more
-        self.turn += 1
-        if office != m.NOBODY and (self._busy(now) or self.turn >= SELDOM or office != self.told_to):
-            self.turn, self.told_to = 0, office  # a new coordinator is told at once
+    # -- reports -------------------------------------------------------------------------------------------
+
+    def _report(self, now: float, _: None) -> None:
+        interval_s = self.seat.follower.report
+        office = self.seat.follower.office
+        if self._configuration() != self.recorded:
+            self._record_configuration()
+            self.intervals = IDLE_REPORT_INTERVALS  # The coordinator's knowledge of this node is outdated.
+        self.intervals += 1
+        if office != m.NOBODY and self._is_report_due(now, office):
+            self.intervals = 0
+            self.reported_office = office
             for message in self.figures(now):
                 self.seat.host.tell(office[1], message)
-        self.seat.host.set_timer(now + report, self._tell, None)
+        self.seat.host.set_timer(now + interval_s, self._report, None)
 
-    def _busy(self, now: float) -> bool:
-        section = self.section(now) or {}
-        return section.get("state") in (GOING, HELD, BACK)
+    def _is_report_due(self, now: float, office: m.Ballot) -> bool:
+        """Seldom without a rollout, but at once for a new coordinator."""
+        is_active = (self.section(now) or {}).get("state") in (GOING, HELD, BACK)
+        return is_active or self.intervals >= IDLE_REPORT_INTERVALS or office != self.reported_office
 
     def figures(self, now: float) -> list[m.RolloutMetrics]:
+        """The report, in as many messages as it needs."""
         rows = self.tally.rows()
-        parts = [rows[at : at + m.MOST_COUNTED] for at in range(0, len(rows), m.MOST_COUNTED)] or [[]]
+        parts = [rows[start : start + m.MOST_COUNTED] for start in range(0, len(rows), m.MOST_COUNTED)]
         number = (self.section(now) or {}).get("number", 0)
-        memory = min(int(self.memory() / 1e5), 65535)
-        runs = crc32(self.release.encode()), crc32(self.was[0].encode())
-        return [m.RolloutMetrics(number, *runs, self.zone, memory, part, self.was[1]) for part in parts]
+        memory = min(int(self.memory() / MEMORY_UNIT_BYTES), MAX_MEMORY)
+        release = crc32(self.release.encode())
+        tag = crc32(self.recorded.tag.encode())
+        contracts = self.recorded.contracts
+        return [
+            m.RolloutMetrics(number, release, tag, self.zone, memory, part, contracts)  # type: ignore[arg-type]
+            for part in parts or [[]]
+        ]
 
     # -- the coordinator's ---------------------------------------------------------------------------------
 
     def came(self, now: float, seat: int, generation: int, got: m.RolloutMetrics) -> None:
+        """A node's report."""
         if self.roll is not None and self.seat.writer.in_office(now):
             self.roll.figures_came(now, seat, generation, got)
 
     def opened(self, now: float, section: Any) -> None:
+        """This node is the coordinator, and goes on from the plan."""
         if self.roll is not None:
             self.roll.resumed(now, section)
 
-    def contracts(self) -> tuple[int, int, str] | None:
-        """Versions of contracts that a change goes from and to, and `done` or `stopped` once it is over."""
-        told = self.roll.section if self.roll is not None else {}
-        if told.get("kind") != CONTRACTS:
+    def contracts(self) -> StagedContracts | None:
+        """The contracts that a rollout brings; None: it brings none."""
+        section = self.roll.section if self.roll is not None else {}
+        if section.get("kind") != CONTRACTS:
             return None
-        over = told["state"] if told["state"] in (DONE, STOPPED) else ""
-        return int(told["before"]), int(told["what"]), over
-
-    def look(self, now: float, up: list[int]) -> dict[str, Any]:
-        """What the plan is to say of changes."""
-        zones = self.seat.zones
-        unfit = (
-            next(
-                (
-                    f"zone {zone.number} is not open"
-                    for zone in zones.all
-                    if zone.state or zone.is_drained or zone.is_drained_by_file
-                ),
-                "",
-            )
-            if zones is not None
-            else ""
-        )
-        section = self.roll.look(now, up, unfit)
+        ended = section["state"] if section["state"] in (DONE, STOPPED) else ""
+        return StagedContracts(int(section["before"]), int(section["what"]), ended)
+
+    def look(self, now: float, up: list[int]) -> dict[str, RolloutSection]:
+        """An evaluation round: the plan's section."""
+        assert self.roll is not None
+        section = self.roll.look(now, up, self._unfit_zone())
         return {"stages": section} if section else {}
 
+    def _unfit_zone(self) -> str:
+        """A zone because of which nothing may be changed now."""
+        if self.seat.zones is None:
+            return ""
+        for zone in self.seat.zones.all:
+            if zone.state or zone.is_drained or zone.is_drained_by_file:
+                return f"zone {zone.number} is not open"
+        return ""
+
     def word_came(self, now: float, seat: int, got: m.RolloutCommand) -> tuple[bool, str]:
-        """An operator's word, or an agent's, at the coordinator: whether it is done, and what is said."""
-        roll, up = self.roll, self.seat.members.up()
+        """An operator's command, or an agent's, at the coordinator: whether it is done, and the answer."""
+        roll = self.roll
+        up = self.seat.members.up()
         if roll is None or not self.seat.writer.in_office(now) or not self.seat.writer.version:
             return False, "the coordinator is just coming into office; ask again"
         if got.word == "page":
@@ -196,16 +260,16 @@
         if got.word == "dry":
             page = int(got.text) if got.text.isdecimal() else 0
             return roll.dry(now, got.name, got.check, up, page)
-        acts: dict[str, Callable[[], str]] = {
+        commands: dict[str, Callable[[], str]] = {
             "start": lambda: roll.start(now, got.name, got.check, up),
             "hold": lambda: roll.hold(now),
             "resume": lambda: roll.resume(now),
             "back": lambda: roll.back(now),
             "failed": lambda: roll.failed(now, seat, got.check, got.text),
         }
-        if got.word not in acts:
+        if got.word not in commands:
             return False, "no such word"
-        reason = acts[got.word]()
+        reason = commands[got.word]()
         if not reason:
             self.seat.writer.put(now, self.look(now, up))
         return not reason, reason
--- a/firwalk/cluster/rollout_nodes.py
+++ b/firwalk/cluster/rollout_nodes.py
@@ -84,8 +84,8 @@
         node.memory = got.memory
         for checksum, *counts, times, squares in got.rows:
             row = Row(checksum, *counts)
-            row.times = times / MILLI
-            row.squares = squares / MILLI
+            row.log_times = times / MILLI
+            row.log_time_squares = squares / MILLI
             node.counters[checksum] = row
         node.take_snapshot(now)
 
--- a/tests/cluster/test_stages.py
+++ b/tests/cluster/test_stages.py
@@ -547,9 +547,9 @@
     for at, tasks in ((0.0, 100), (100.0, 150), (310.0, 400), (700.0, 1000), (710.0, 1010)):
         row = (1, tasks, 0, 0, 0, 0, tasks, 0, 0, 0)
         roll.figures_came(at, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [row]))
-    assert [one.tasks for one in roll.nodes.metrics[0].past()] == [610]
+    assert [one.requests for one in roll.nodes.metrics[0].past()] == [610]
     roll.figures_came(720.0, 0, 6, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [(1, 5, *[0] * 8)]))
-    assert [one.tasks for one in roll.nodes.metrics[0].past()] == [0]
+    assert [one.requests for one in roll.nodes.metrics[0].past()] == [0]
 
 
 def takes_the_larger_evidence(patch):
@@ -576,8 +576,8 @@
 
 
 def test_a_row_of_another_life_is_no_difference():
-    assert Row(1, 5, finished=3).minus(Row(1, 9)) is None
-    assert Row(1, 9, finished=3).minus(Row(1, 5)).tasks == 4
+    assert Row(1, 5, completed=3).minus(Row(1, 9)) is None
+    assert Row(1, 9, completed=3).minus(Row(1, 5)).requests == 4
     assert set(Row(1, 9, 1, 1, 1).figures()) >= {(ABANDONED, ALL), (BAD, 1), (TIME, 1)}
 
 
