--- a/firwalk/dispatcher/failure_gossip.py
+++ b/firwalk/dispatcher/failure_gossip.py
@@ -1,30 +1,35 @@
-"""What nodes tell one another, as bytes: that an executor erred, by its mark. Nothing here decides.
+"""How nodes name an executor that erred when they tell their peers: by the checksum of its name.
 
-Bytes between nodes have a price, so marks are short. Two executors may share one: what is told of them is
-dropped, as is what names nobody.
+Bytes between nodes have a price, so the checksums are short. Two executors may share one; gossip about them
+is dropped, like gossip that names no executor of this node.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Generic, TypeVar
 from zlib import crc32
 
-SIZE = 4
+SIZE = 4  # bytes of a checksum
 
+ExecutorT = TypeVar("ExecutorT")
 
-class ExecutorIndex:
-    """Executors by their marks, which are the same at all nodes."""
+
+class ExecutorIndex(Generic[ExecutorT]):
+    """Executors by the checksum of their names, which is the same on all nodes."""
 
     def __init__(self) -> None:
-        self.known: dict[bytes, Any] = {}
+        self.known: dict[bytes, ExecutorT | None] = {}  # None where two executors share a checksum
 
-    def add(self, name: bytes, executor: Any) -> None:
-        mark = executor_checksum(name)
-        self.known[mark] = None if mark in self.known else executor
+    def add(self, name: bytes, executor: ExecutorT) -> None:
+        """Adds an executor."""
+        checksum = executor_checksum(name)
+        self.known[checksum] = None if checksum in self.known else executor
 
-    def find(self, content: bytes) -> Any | None:
+    def find(self, content: bytes) -> ExecutorT | None:
+        """The executor that received gossip names; None where it names none, or more than one."""
         return self.known.get(content)
 
 
 def executor_checksum(name: bytes) -> bytes:
+    """The checksum of an executor's name."""
     return crc32(name).to_bytes(SIZE)
--- /dev/null
+++ b/firwalk/dispatcher/policy_host.py
@@ -0,0 +1,248 @@
+"""The host of the policy: turns what the policy decides into actions, and keeps its timers.
+
+Times are seconds on the clock that is handed in.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from math import inf
+from typing import TYPE_CHECKING, Any
+
+from firwalk.dispatcher import failure_gossip
+from firwalk.dispatcher.actions import (
+    BackgroundAction,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    GossipFailure,
+    RejectRequest,
+    SendAttempt,
+    WatchEndpoints,
+    WriteLogLine,
+)
+from firwalk.dispatcher.load_report import parse_load_report
+from firwalk.dispatcher.pending_request import PendingRequest
+from firwalk.dispatcher.timers import TimerCallback, TimerQueue
+from firwalk.dispatcher.zone_view import zone_number
+from firwalk.observability.events import EventLog, FailureReason
+from firwalk.observability.log import check_invariant
+from firwalk.observability.monitor import Monitor
+from firwalk.policy.interface import Idempotency, Outcome
+from firwalk.policy.policy import Attempt, Executor, Policy, Request
+
+if TYPE_CHECKING:
+    from firwalk.cluster.health_observations import HealthObserver
+    from firwalk.cluster.rollout_controller import RolloutCounters
+
+RESPONSE_MARGIN_S = 0.02  # for the answer's way to the client, which it must reach before its deadline
+OVERDUE_AFTER_S = 0.01  # past the deadline, so that the attempts have timed out before
+TERMINAL_OUTCOMES = (Outcome.COMPLETED, Outcome.INVALID)  # these end the request, not just the attempt
+UNREACHED_OUTCOMES = (
+    Outcome.CONNECT_FAILED,
+    Outcome.CONNECTION_LOST,
+    Outcome.TIMED_OUT,
+    Outcome.CANCELLED,
+)  # the executor gave no sign of life
+
+
+def is_terminal(outcome: Outcome) -> bool:
+    """Whether the outcome of an attempt ends its request."""
+    return outcome in TERMINAL_OUTCOMES
+
+
+class PolicyHost:
+    """Carries out what the policy asks for (see `firwalk.policy.interface.Host`).
+
+    Actions of a request are queued at its PendingRequest; background actions wait for `run_due_timers`.
+    `wake` is called when that must be called earlier than it said last.
+    """
+
+    policy: Policy
+
+    def __init__(self, clock: Callable[[], float], wake: Callable[[], None]):
+        self.clock = clock
+        self.wake = wake
+        self.events = EventLog()
+        self.monitor = Monitor(self.events, clock)
+        self.timers = TimerQueue()
+        self.next_turn_at = inf
+        self.background_actions: list[BackgroundAction] = []
+        self.cancelled_attempts: list[Attempt] = []
+        self.open_requests: dict[PendingRequest, None] = {}
+        self.probe_time = 0.0  # seconds that a health check may take
+        self.health_observer: HealthObserver | None = None  # set where the cluster decides on zones
+        self.rollout_counters: RolloutCounters | None = None  # set where the cluster decides on rollouts
+        self.cluster_admission: Callable[[Request], float] | None = None
+
+    # -- timers ----------------------------------------------------------------------------------------
+
+    def run_due_timers(self) -> tuple[float, list[BackgroundAction]]:
+        """Runs due timers; returns when to call it again, and the background actions to carry out."""
+        now = self.clock()
+        while self.timers.next_due_at() <= now:
+            callback, argument = self.timers.pop()
+            callback(now, argument)
+            self._settle(now)
+        background_actions = self.background_actions
+        self.background_actions = []
+        self.next_turn_at = self.timers.next_due_at()
+        return self.next_turn_at, background_actions
+
+    def _settle(self, now: float) -> None:
+        """Ends cancelled attempts, outside the policy's call that cancelled them, and asks for a turn."""
+        while self.cancelled_attempts:
+            self._end_attempt(now, self.cancelled_attempts.pop(0), Outcome.CANCELLED, None)
+        if self.background_actions or self.timers.next_due_at() < self.next_turn_at:
+            self.next_turn_at = -inf
+            self.wake()
+
+    def set_timer(self, when: float, act: TimerCallback, about: Any) -> None:
+        """Calls `act(now, about)` at `when` or soon after."""
+        self.timers.add(when, act, about)
+
+    # -- requests and attempts -----------------------------------------------------------------
+
+    def _track(self, pending: PendingRequest) -> None:
+        self.open_requests[pending] = None
+        self.set_timer(pending.request.deadline + OVERDUE_AFTER_S, self._answer_overdue, pending)
+
+    def _end_attempt(self, now: float, attempt: Attempt, outcome: Outcome, load_report: object) -> None:
+        """Accounts for an attempt's outcome, once, and tells the policy."""
+        request = attempt.request
+        if not attempt.is_in_flight:
+            return
+        pending = request.ref
+        is_last = is_terminal(outcome) or not request.is_open
+        if self.health_observer is not None:
+            self._observe_health(self.health_observer, now, attempt, outcome)
+        if self.rollout_counters is not None and outcome is Outcome.ERROR:
+            self.rollout_counters.erred(pending.labels[0])
+        if outcome is Outcome.COMPLETED and pending.charge is not None and not pending.measured_work:
+            took = now - (attempt.started_at or attempt.sent_at)
+            pending.measured_work = took * attempt.executor.speed * request.slots
+        if pending.record is not None:
+            self.monitor.attempt_ended(pending.record, attempt.number, outcome)
+        figures = parse_load_report(load_report)
+        self.policy.attempt_ended(now, attempt, outcome, now - attempt.sent_at, is_last, figures)
+        if not request.is_open:
+            self.open_requests.pop(pending, None)
+            self._settle_charge(request)
+        pending.wake()
+
+    def _observe_health(
+        self, observer: HealthObserver, now: float, attempt: Attempt, outcome: Outcome
+    ) -> None:
+        """A cancelled attempt says nothing of its zone, unless it should have ended by then."""
+        executor = attempt.executor
+        started_at = attempt.started_at
+        is_late = now - attempt.sent_at > attempt.wait + attempt.request.cost / executor.rate()
+        if outcome is Outcome.NOT_SENT:
+            return
+        if outcome is Outcome.CANCELLED and (not is_late or started_at):
+            return
+        is_unreached = outcome in UNREACHED_OUTCOMES and not started_at
+        zone = zone_number(self.policy, executor)
+        observer.ended(zone, is_unreached, outcome is Outcome.ERROR, now, attempt.sent_at)
+
+    def _settle_charge(self, request: Request) -> None:
+        """Charges what was measured, else the estimate, or nothing if the request cannot have run."""
+        pending = request.ref
+        if pending.charge is not None and not request.is_open and not request.in_flight:
+            may_have_run = any(
+                attempt.may_have_run and attempt.number in pending.committed for attempt in request.attempts
+            )
+            pending.charge.settle(pending.measured_work, may_have_run)
+
+    def _time_out(self, now: float, attempt: Attempt) -> None:
+        if attempt.is_in_flight:
+            pending = attempt.request.ref
+            is_committed = attempt.number in pending.committed
+            pending.add(CancelAttempt(attempt.number))
+            self._end_attempt(now, attempt, Outcome.TIMED_OUT if is_committed else Outcome.NOT_SENT, None)
+
+    def _answer_overdue(self, now: float, pending: PendingRequest) -> None:
+        """The policy answers every request by its deadline; if it did not, the client would wait for ever."""
+        check_invariant(not pending.request.is_open, "a task has its final answer by its expiry")
+        if pending.request.is_open:
+            self.policy.request_withdrawn(now, pending.request)
+            self.fail(pending.request)
+
+    # -- what the policy asks for ----------------------------------------------------------------------
+
+    def send(self, request: Request, executor: Executor, limit: float) -> None:
+        """Sends the last attempt, with a timeout of `limit` seconds (0: the request's deadline)."""
+        attempt = request.attempts[-1]
+        deadline = min(request.deadline, attempt.sent_at + limit) if limit else request.deadline
+        is_non_idempotent = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        request.ref.add(SendAttempt(attempt.number, executor.ref, deadline, is_non_idempotent))
+        self.set_timer(deadline, self._time_out, attempt)
+
+    def admission_weight(self, request: Request) -> float:
+        """What the cluster's admission multiplies the request's value by; 0 rejects it."""
+        return 1.0 if self.cluster_admission is None else self.cluster_admission(request)
+
+    def _failure_reason(self, request: Request) -> FailureReason:
+        is_cut_short = request.deadline < request.ref.deadline  # by the end of the process
+        if self.clock() >= request.deadline:
+            return FailureReason.STOPPING if is_cut_short else FailureReason.DEADLINE
+        if request.attempts:
+            return FailureReason.ATTEMPTS_FAILED
+        return FailureReason.STOPPING if is_cut_short else FailureReason.NO_EXECUTOR
+
+    def reject(self, request: Request, wait: float) -> None:
+        """Answers that a retry is harmless, after `wait` seconds (0: no advice)."""
+        pending = request.ref
+        pending.failure_reason = self._failure_reason(request)
+        retry_after_s = min(max(wait, pending.retry_after), self.policy.max_retry_after)
+        pending.add(RejectRequest(retry_after_s))
+        if self.rollout_counters is not None:
+            self.rollout_counters.bounced(pending.labels[0], len(request.attempts))
+        self.open_requests.pop(pending, None)
+        self._settle_charge(request)
+
+    def fail(self, request: Request) -> None:
+        """Answers that the outcome is unknown."""
+        pending = request.ref
+        pending.failure_reason = self._failure_reason(request)
+        pending.add(FailRequest())
+        if self.rollout_counters is not None:
+            self.rollout_counters.abandoned(pending.labels[0], len(request.attempts))
+        self.open_requests.pop(pending, None)
+        self._settle_charge(request)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancels an attempt; it has its outcome as soon as the policy has returned."""
+        attempt.request.ref.add(CancelAttempt(attempt.number))
+        self.cancelled_attempts.append(attempt)
+
+    def may_have_reached(self, attempt: Attempt) -> bool:
+        """Whether the attempt may have been written as a whole."""
+        return attempt.number in attempt.request.ref.committed
+
+    def check_health(self, executor: Executor) -> None:
+        """Asks an executor for its load report."""
+        self.background_actions.append(CheckHealth(executor.ref, self.probe_time))
+
+    def close_idle_connections(self, executor: Executor) -> None:
+        """Closes the connections to an executor that carry no request."""
+        self.background_actions.append(CloseIdleConnections(executor.ref))
+
+    def gossip_failure(self, executor: Executor) -> None:
+        """Tells all peers that an executor erred."""
+        checksum = failure_gossip.executor_checksum(executor.ref.name.encode())
+        self.background_actions.append(GossipFailure(checksum))
+
+    def watch_endpoints(self, on: bool) -> None:
+        """Opens the watch of the endpoint list, or closes it."""
+        self.background_actions.append(WatchEndpoints(on))
+
+    def fetch_endpoints(self) -> None:
+        """Fetches the whole endpoint list once."""
+        self.background_actions.append(FetchEndpoints())
+
+    def note(self, line: str) -> None:
+        """Writes a line for the operators."""
+        self.background_actions.append(WriteLogLine(line))
--- a/firwalk/lab/fleet.py
+++ b/firwalk/lab/fleet.py
@@ -17,7 +17,23 @@
 from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.plan_enforcement import PlanEnforcer
 from firwalk.cluster.zones import ZonePolicy
-from firwalk.dispatcher.dispatcher import Action, BackgroundAction, Dispatcher, Endpoint, PendingRequest
+from firwalk.dispatcher.actions import (
+    BackgroundAction,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    CompleteRequest,
+    FailRequest,
+    FetchEndpoints,
+    FinalAnswer,
+    GossipFailure,
+    RejectInvalidRequest,
+    RejectRequest,
+    SendAttempt,
+    WatchEndpoints,
+)
+from firwalk.dispatcher.dispatcher import Dispatcher, Endpoint, PendingRequest
+from firwalk.dispatcher.endpoint_list import EndpointEntry
 from firwalk.lab.invariants import Judge
 from firwalk.lab.scenario import Fault, Offering, Scenario, endpoints, settings, zone_name
 from firwalk.lab.schedules import Watch
@@ -43,6 +59,14 @@
 )  # faults that there are here
 REFUSED_AGAIN = 0.05  # seconds after which a client whose node is not there comes again
 
+# Words of answers in a job's history.
+ANSWER_WORDS = {
+    CompleteRequest: "finished",
+    RejectRequest: "bounced",
+    FailRequest: "abandoned",
+    RejectInvalidRequest: "unfit",
+}
+
 
 @dataclass
 class Job:
@@ -179,21 +203,22 @@
         if when != self.due or not self.alive:
             return
         self.due = float("inf")
-        upto, chores = self.dispatcher.run_due_timers()
-        for chore in chores:
-            self._chore(*chore)
+        upto, background_actions = self.dispatcher.run_due_timers()
+        for action in background_actions:
+            self._run_background_action(action)
         if upto < float("inf"):
             self._turn_at(max(upto, self.fleet.now()))
 
-    def _chore(self, kind: BackgroundAction, *about: Any) -> None:
-        if kind is BackgroundAction.PROBE:
-            self.fleet.probe(self, *about)
-        elif kind is BackgroundAction.CLOSE_IDLE:
-            self.idle[int(about[0].name[1:])] = 0
-        elif kind is BackgroundAction.WATCH or kind is BackgroundAction.ASK_LIST:
-            self.fleet.list_later(self)
-        elif kind is BackgroundAction.TELL:
-            self.fleet.warn(self, *about)
+    def _run_background_action(self, action: BackgroundAction) -> None:
+        match action:
+            case CheckHealth():
+                self.fleet.probe(self, action.endpoint, action.timeout_s)
+            case CloseIdleConnections():
+                self.idle[int(action.endpoint.name[1:])] = 0
+            case WatchEndpoints() | FetchEndpoints():
+                self.fleet.list_later(self)
+            case GossipFailure():
+                self.fleet.warn(self, action.content)
 
     # -- tasks -------------------------------------------------------------------------------------------
 
@@ -209,13 +234,14 @@
         if not self.alive:
             return
         while work.pending.actions:
-            kind, *about = work.pending.actions.popleft()
-            if kind is Action.SEND:
-                self.fleet.send(work, about[0], about[1])
-            elif kind is Action.CALL_OFF:
-                self.fleet.call_off(work.sent[about[0]])
-            else:
-                self.fleet.final(work, kind, about)
+            action = work.pending.actions.popleft()
+            match action:
+                case SendAttempt():
+                    self.fleet.send(work, action.number, action.endpoint)
+                case CancelAttempt():
+                    self.fleet.call_off(work.sent[action.number])
+                case _:
+                    self.fleet.final(work, action)
         if work.pending.is_finished():
             self.works.pop(work, None)
 
@@ -342,16 +368,17 @@
         job.tries += 1
         self.nodes[node].take(job)
 
-    def final(self, work: Work, kind: Action, about: list) -> None:
+    def final(self, work: Work, answer: FinalAnswer) -> None:
         job, now = work.job, self.now()
+        word = ANSWER_WORDS[type(answer)]
         if work.over:
-            self.breaks.append(f"job {job.number}: a second answer {kind.name}")
+            self.breaks.append(f"job {job.number}: a second answer {word.upper()}")
         work.over = True
-        job.answers.append((now, kind.name.lower()))
-        if kind is Action.FINISHED:
+        job.answers.append((now, word))
+        if isinstance(answer, CompleteRequest):
             job.done_at = now
-        elif kind is Action.BOUNCED and job.tries <= self.scenario.load.retries:
-            self.world.later(now + (about[0] or 0.02), self._try, job)
+        elif isinstance(answer, RejectRequest) and job.tries <= self.scenario.load.retries:
+            self.world.later(now + (answer.retry_after_s or 0.02), self._try, job)
 
     # -- between nodes and executors ---------------------------------------------------------------------
 
@@ -456,9 +483,9 @@
 
     # -- the list, warnings ------------------------------------------------------------------------------
 
-    def entries(self) -> list[tuple]:
+    def entries(self) -> list[EndpointEntry]:
         return [
-            (
+            EndpointEntry(
                 w.name,
                 ("127.0.0.1", 1000 + w.number),
                 zone_name(w.zone),
--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -11,7 +11,15 @@
 from itertools import islice
 from time import monotonic
 
-from firwalk.dispatcher.dispatcher import Action, Dispatcher, PendingRequest
+from firwalk.dispatcher.actions import (
+    CancelAttempt,
+    CompleteRequest,
+    FailRequest,
+    RejectInvalidRequest,
+    RejectRequest,
+    SendAttempt,
+)
+from firwalk.dispatcher.dispatcher import Dispatcher, PendingRequest
 from firwalk.net import fields, http
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
@@ -584,30 +592,30 @@
         keep: bool,
     ) -> None:
         """Does what each step says, until nothing more can come."""
-        while (step := await self.dispatcher.next_action(pending)) is not None:
-            kind = step[0]
-            if kind is Action.SEND:
-                _, number, place, end, once = step
-                self.executors.carry(
-                    pending,
-                    number,
-                    place,
-                    name,
-                    _message(target, headers, body, end, self.dispatcher.clock),
-                    once,
-                )
-            elif kind is Action.CALL_OFF:
-                self.executors.call_off(pending, step[1])
-            elif client.pending is not pending:
-                pass  # the client has been sent away meanwhile
-            elif kind is Action.FINISHED:
-                self._answer(client, 200, step[1], keep)
-            elif kind is Action.BOUNCED:
-                self._answer(client, 503, b"", keep, step[1], pending.failure_reason)
-            elif kind is Action.UNFIT:
-                self._answer(client, 400, b"", keep, reason=FailureReason.BAD_REQUEST)
-            else:
-                self._answer(client, 500, b"", keep, reason=pending.failure_reason)
+        while (action := await self.dispatcher.next_action(pending)) is not None:
+            match action:
+                case SendAttempt():
+                    message = _message(target, headers, body, action.deadline, self.dispatcher.clock)
+                    self.executors.carry(
+                        pending,
+                        action.number,
+                        action.endpoint,
+                        name,
+                        message,
+                        action.is_non_idempotent,
+                    )
+                case CancelAttempt():
+                    self.executors.call_off(pending, action.number)
+                case _ if client.pending is not pending:
+                    pass  # the client has been sent away meanwhile
+                case CompleteRequest():
+                    self._answer(client, 200, action.result, keep)
+                case RejectRequest():
+                    self._answer(client, 503, b"", keep, action.retry_after_s, pending.failure_reason)
+                case RejectInvalidRequest():
+                    self._answer(client, 400, b"", keep, reason=FailureReason.BAD_REQUEST)
+                case FailRequest():
+                    self._answer(client, 500, b"", keep, reason=pending.failure_reason)
 
     def _refused(self, request_id: bytes, status: int, reason: FailureReason) -> None:
         """Counts a request that is turned away before it is anybody's."""
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -10,7 +10,16 @@
 from time import monotonic, time
 
 from firwalk.config.node_config import longest_deadline, needs_restart, validate_reload
-from firwalk.dispatcher.dispatcher import BackgroundAction, Dispatcher
+from firwalk.dispatcher.actions import (
+    BackgroundAction,
+    CheckHealth,
+    CloseIdleConnections,
+    FetchEndpoints,
+    GossipFailure,
+    WatchEndpoints,
+    WriteLogLine,
+)
+from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.net import discovery, listing
 from firwalk.net.address import new_socket, parse
 from firwalk.net.budget import Budget
@@ -112,29 +121,31 @@
 
     def _turn(self) -> None:
         try:
-            when, chores = self.dispatcher.run_due_timers()
+            when, background_actions = self.dispatcher.run_due_timers()
         except Exception as problem:
             log_exception("running timers", problem)
-            when, chores = self.clock(), []
+            when = self.clock()
+            background_actions = []
         if when != float("inf"):
             self.turns.after(max(when - self.clock(), 0.0005))
-        for chore in chores:
-            self._do(*chore)
-
-    def _do(self, kind: BackgroundAction, *about) -> None:
-        if kind is BackgroundAction.PROBE:
-            if not self.succession.handed:  # the process that takes the tasks probes for them
-                self.executors.probe(*about)
-        elif kind is BackgroundAction.CLOSE_IDLE:
-            self.executors.close_idle(*about)
-        elif kind is BackgroundAction.WATCH:
-            self.discovery.watch(*about)
-        elif kind is BackgroundAction.ASK_LIST:
-            self.discovery.ask()
-        elif kind is BackgroundAction.TELL:
-            self.peers.tell(*about)
-        else:
-            log_external(about[0])
+        for action in background_actions:
+            self._run_background_action(action)
+
+    def _run_background_action(self, action: BackgroundAction) -> None:
+        match action:
+            case CheckHealth():
+                if not self.succession.handed:  # the process that takes the requests checks for them
+                    self.executors.probe(action.endpoint, action.timeout_s)
+            case CloseIdleConnections():
+                self.executors.close_idle(action.endpoint)
+            case WatchEndpoints():
+                self.discovery.watch(action.is_on)
+            case FetchEndpoints():
+                self.discovery.ask()
+            case GossipFailure():
+                self.peers.tell(action.content)
+            case WriteLogLine():
+                log_external(action.text)
 
     async def _sweep(self) -> None:
         while True:
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -5,6 +5,7 @@
 
 from firwalk.cluster.plan_enforcement import PlanEnforcer, PriorityMix
 from firwalk.cluster.zones import Mode
+from firwalk.dispatcher.actions import RejectRequest
 from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.policy.interface import EndpointState, Outcome
 
@@ -143,8 +144,8 @@
     for offering in ("read", "put"):
         pending = node.dispatcher.report_request(offering, "", 2.0, 0.01, 1.0, 0.0, False)
         step = pending.actions.popleft()
-        assert step[0].name == "BOUNCED" and not pending.request.attempts
-        assert 0.5 <= step[1] <= LIMITS["max-retry-after-us"] * 1e-6
+        assert isinstance(step, RejectRequest) and not pending.request.attempts
+        assert 0.5 <= step.retry_after_s <= LIMITS["max-retry-after-us"] * 1e-6
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -7,7 +7,7 @@
 import sys
 
 from firwalk.cluster import lease, plan
-from firwalk.dispatcher import dispatcher
+from firwalk.dispatcher import policy_host
 from firwalk.net import clients
 from firwalk.policy import policy
 from firwalk.policy.interface import EndpointState, Outcome
@@ -67,7 +67,7 @@
 
     policy.Policy.ended = ended
     policy.Policy._safe_after = lambda self, now, task, executor, before: len(before) < 3
-    dispatcher.LAST = (Outcome.INVALID,)
+    policy_host.TERMINAL_OUTCOMES = (Outcome.INVALID,)
 
 
 def does_not_hear_of_drains():
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -5,9 +5,23 @@
 import orjson
 import pytest
 from helpers import LIMITS, OFFERINGS
-
-from firwalk.dispatcher.dispatcher import BackgroundAction, Dispatcher
+from msgspec.structs import astuple
+
+from firwalk.dispatcher.actions import (
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    CompleteRequest,
+    FailRequest,
+    GossipFailure,
+    RejectRequest,
+    SendAttempt,
+    WatchEndpoints,
+)
+from firwalk.dispatcher.dispatcher import Dispatcher
+from firwalk.dispatcher.endpoint_list import EndpointEntry
 from firwalk.dispatcher.failure_gossip import ExecutorIndex, executor_checksum
+from firwalk.dispatcher.load_report import parse_load_report
 from firwalk.net.listing import read
 from firwalk.policy.interface import EndpointState, Outcome
 
@@ -38,7 +52,7 @@
             version,
             whole,
             [
-                (name, ("127.0.0.1", 1 + int(name[1:])), "a", "m", 0, condition, 0.0, 1.0)
+                EndpointEntry(name, ("127.0.0.1", 1 + int(name[1:])), "a", "m", 0, condition, 0.0, 1.0)
                 for name, condition in heard
             ],
         )
@@ -47,7 +61,7 @@
         return self.dispatcher.report_request(request_class, "", budget, 0.01, 1.0, 0.0, False)
 
     def steps(self, pending):
-        """All that can be picked now, by kind."""
+        """All actions that are queued now, with the first field of each, and whether that was all."""
 
         async def run():
             found = []
@@ -55,7 +69,8 @@
                 step = await asyncio.wait_for(self.dispatcher.next_action(pending), 1)
                 if step is None:
                     return found + ["over"]
-                found.append((step[0].name, step[1]) if len(step) > 1 else step[0].name)
+                fields = astuple(step)
+                found.append((type(step), fields[0]) if fields else type(step))
             return found
 
         return asyncio.run(run())
@@ -107,7 +122,7 @@
     told, heard, lone = Play(settings=many), Play(settings=many), Play()
     for p, warns in ((told, True), (lone, False)):
         p.dispatcher.report_outcome(p.take(), 0, Outcome.ERROR)
-        sent = [chore[1] for chore in p.until(1000.0) if chore[0] is BackgroundAction.TELL]
+        sent = [action.content for action in p.until(1000.0) if isinstance(action, GossipFailure)]
         assert len(sent) == warns
         for content in (b"", b"\0" * 4, b"\xff" * 256, *sent):
             heard.dispatcher.report_peer(3, content)
@@ -128,11 +143,11 @@
 def test_a_task_from_its_first_step_to_its_result():
     p = Play()
     pending = p.take()
-    assert p.steps(pending) == [("SEND", 0)]
+    assert p.steps(pending) == [(SendAttempt, 0)]
     assert p.dispatcher.report_sending(pending, 0) and p.dispatcher.report_committing(pending, 0)
     p.dispatcher.report_started(pending, 0)
     p.dispatcher.report_outcome(pending, 0, Outcome.COMPLETED, {"x0": 1}, b"done")
-    assert p.steps(pending) == [("FINISHED", b"done"), "over"] and not p.dispatcher.open_requests
+    assert p.steps(pending) == [(CompleteRequest, b"done"), "over"] and not p.dispatcher.open_requests
 
 
 def test_a_time_out_is_called_off_and_answered_before_the_expiry():
@@ -142,7 +157,7 @@
     p.dispatcher.report_committing(pending, 0)
     p.dispatcher.report_started(pending, 0)
     p.until(1000.49)
-    assert p.steps(pending) == [("CALL_OFF", 0), "ABANDONED", "over"]
+    assert p.steps(pending) == [(CancelAttempt, 0), FailRequest, "over"]
     p.dispatcher.report_outcome(pending, 0, Outcome.COMPLETED, None, b"too late")
     assert p.steps(pending) == ["over"]
 
@@ -151,7 +166,7 @@
     p = Play(executors=1)
     pending = p.take("act", budget=0.5)
     p.until(1000.49)
-    assert [s[0] for s in p.steps(pending)[:3]] == ["SEND", "CALL_OFF", "BOUNCED"]
+    assert [s[0] for s in p.steps(pending)[:3]] == [SendAttempt, CancelAttempt, RejectRequest]
 
 
 def test_no_send_begins_once_its_executor_drains_or_its_time_is_over():
@@ -186,7 +201,9 @@
     assert not (p.dispatcher.report_committing if at_last_byte else p.dispatcher.report_sending)(pending, 0)
     assert not pending.request.is_open and not pending.committed
     p.dispatcher.report_outcome(pending, 0, Outcome.NOT_SENT)
-    assert [s for s in p.steps(pending) if s[0] == "SEND"] == [("SEND", 0)] and pending.is_finished()
+    assert [s for s in p.steps(pending) if s[0] is SendAttempt] == [
+        (SendAttempt, 0)
+    ] and pending.is_finished()
 
 
 def test_no_attempt_begins_with_less_time_than_can_be_told():
@@ -248,7 +265,7 @@
     p.hear(("e1", EndpointState.READY), whole=True, version=9)
     p.hear(("e0", EndpointState.READY), version=8)
     assert [e.ref.name for e in p.dispatcher.policy.near] == ["e1"] and p.dispatcher.version == 9
-    closed = [about[0].name for kind, *about in p.until(p.now) if kind is BackgroundAction.CLOSE_IDLE]
+    closed = [a.endpoint.name for a in p.until(p.now) if isinstance(a, CloseIdleConnections)]
     assert closed == ["e0"]
 
 
@@ -257,7 +274,7 @@
     pending = p.take()
     p.steps(pending)
     p.dispatcher.report_client_left(pending)
-    assert p.steps(pending) == [("CALL_OFF", 0), "over"] and not p.dispatcher.open_requests
+    assert p.steps(pending) == [(CancelAttempt, 0), "over"] and not p.dispatcher.open_requests
     assert pending.request.attempts[0].executor.work == 0.0
 
 
@@ -269,7 +286,7 @@
     p.dispatcher.set_shutdown_deadline(p.now + 3.0)
     later = p.take("act", budget=60.0)
     p.until(1003.0)
-    assert p.steps(taken)[-2:] == ["ABANDONED", "over"]
+    assert p.steps(taken)[-2:] == [FailRequest, "over"]
     assert p.steps(later)[-1] == "over" and later.request.deadline < 1003.0
 
 
@@ -287,19 +304,20 @@
     before = p.woken
     p.take()
     assert p.woken == before + 1
-    probes = [about for kind, *about in p.until(p.now) if kind is BackgroundAction.PROBE]
-    assert probes and all(seconds == 0.5 for _, seconds in probes)
-    p.dispatcher.report_probe(probes[0][0], Outcome.COMPLETED, 0.01, {"inflight": 3, "x0": 2, "text": "no"})
-    assert p.dispatcher._words({"inflight": 3, "x0": 2, "text": "no"}) == {"held": 3.0, "free_slots": 2.0}
-    assert p.dispatcher._words("no object") is None
+    probes = [action for action in p.until(p.now) if isinstance(action, CheckHealth)]
+    assert probes and all(probe.timeout_s == 0.5 for probe in probes)
+    p.dispatcher.report_probe(
+        probes[0].endpoint, Outcome.COMPLETED, 0.01, {"inflight": 3, "x0": 2, "text": "no"}
+    )
+    assert parse_load_report({"inflight": 3, "x0": 2, "text": "no"}) == {"held": 3.0, "free_slots": 2.0}
+    assert parse_load_report("no object") is None
     assert (
-        p.dispatcher._words({"inflight": 1e300, "x0": float("inf"), "util": float("nan"), "queue": -1e9})
-        == {}
+        parse_load_report({"inflight": 1e300, "x0": float("inf"), "util": float("nan"), "queue": -1e9}) == {}
     )
 
 
 def test_a_list_that_is_pushed_elsewhere_is_watched_on_sockets():
-    assert (BackgroundAction.WATCH, True) in Play(settings={"discovery": "push"}).until(1000.0)
+    assert WatchEndpoints(True) in Play(settings={"discovery": "push"}).until(1000.0)
 
 
 def test_an_unknown_offering_is_no_task():
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -75,8 +75,9 @@
 
 @pytest.mark.parametrize("closed", [[2], [0, 1, 2]])
 def test_a_closed_standard_error_gets_no_line_and_neither_does_what_takes_its_number(closed, tmp_path):
-    code = "import os; from firwalk import log; file = os.open('taken', os.O_RDWR | os.O_CREAT); "
-    code += "log.report('x'); log.say('y'); os.write(file, b'end')"
+    code = "import os; from firwalk.observability import log; "
+    code += "file = os.open('taken', os.O_RDWR | os.O_CREAT); "
+    code += "log.log_internal('x'); log.log_external('y'); os.write(file, b'end')"
     shut = " ".join(f"{number}>&-" if number else "<&-" for number in closed)
     done = subprocess.run(
         ["/bin/sh", "-c", f'"$0" -c "$1" {shut}', sys.executable, code],
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,7 +8,7 @@
 from test_facade import Play
 from test_service import play
 
-from firwalk.dispatcher.dispatcher import Action, BackgroundAction
+from firwalk.dispatcher.actions import CloseIdleConnections, SendAttempt
 from firwalk.dispatcher.maintenance import Maintenance
 from firwalk.net.management import LEAST, places
 from firwalk.policy.interface import EndpointState, Outcome
@@ -18,7 +18,7 @@
 
 def sent_to(p, pending):
     """Where it was sent; it is finished, so that the next one finds the executor free."""
-    place = [step[2].name for step in pending.actions if step[0] is Action.SEND][0]
+    place = [action.endpoint.name for action in pending.actions if isinstance(action, SendAttempt)][0]
     p.dispatcher.report_outcome(pending, 0, Outcome.COMPLETED)
     return place
 
@@ -47,7 +47,7 @@
     p.dispatcher.detach_executor("e0")
     assert not p.dispatcher.report_sending(pending, 0)
     assert not p.dispatcher.keeps_connections_to(p.dispatcher.executors["e0"].ref)
-    assert BackgroundAction.CLOSE_IDLE in [chore[0] for chore in p.until(p.now)]
+    assert CloseIdleConnections in map(type, p.until(p.now))
 
 
 @pytest.mark.parametrize(
@@ -56,12 +56,12 @@
 def test_what_has_not_begun_there_is_sent_elsewhere_where_the_rules_allow(request_class, started, sends):
     p = Play(2)
     pending = p.take(request_class)
-    place = pending.actions[0][2].name
+    place = pending.actions[0].endpoint.name
     p.dispatcher.report_committing(pending, 0)
     if started:
         p.dispatcher.report_started(pending, 0)
     p.dispatcher.detach_executor(place)
-    sent = [step[2].name for step in pending.actions if step[0] is Action.SEND]
+    sent = [action.endpoint.name for action in pending.actions if isinstance(action, SendAttempt)]
     assert len(sent) == sends and len(set(sent)) == sends
 
 
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -10,7 +10,8 @@
 from test_service import play, slowly
 
 from firwalk.config.node_config import needs_restart, validate_reload
-from firwalk.dispatcher.dispatcher import Action, Dispatcher
+from firwalk.dispatcher.actions import FailRequest, SendAttempt
+from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.policy.interface import Idempotency, Outcome
 
 CONFIG = {
@@ -31,7 +32,7 @@
 
 
 def kinds(pending):
-    return [step[0] for step in pending.actions]
+    return [type(action) for action in pending.actions]
 
 
 def test_an_offering_appears_another_vanishes_and_what_stays_keeps_what_it_learnt():
@@ -41,12 +42,12 @@
     new = SETTINGS | {"offerings": [OFFERINGS[1], OFFERINGS[0], OFFERINGS[0] | {"name": "look"}]}
     assert p.take("look") is None
     p.dispatcher.report_settings(new)
-    assert Action.SEND in kinds(p.take("look"))
+    assert SendAttempt in kinds(p.take("look"))
     assert p.take("act") is None and list(p.dispatcher.removed_classes) == ["act"]
     stays = p.dispatcher.policy.request_classes[p.dispatcher.request_classes["read"]]
     assert stays is not learnt and (stays.met, stays.finished) == (learnt.met, learnt.finished) == (1, 1)
     p.dispatcher.report_settings(SETTINGS)
-    assert list(p.dispatcher.removed_classes) == ["look"] and Action.SEND in kinds(p.take("act"))
+    assert list(p.dispatcher.removed_classes) == ["look"] and SendAttempt in kinds(p.take("act"))
 
 
 def test_a_task_under_way_keeps_its_offering_when_that_gets_stricter_or_vanishes():
@@ -56,13 +57,13 @@
         p.dispatcher.report_committing(pending, 0)
         p.dispatcher.report_settings(new)
         p.dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)  # it may have run, and may run again
-        assert kinds(pending).count(Action.SEND) == 2
+        assert kinds(pending).count(SendAttempt) == 2
     p = Play(3)
     p.dispatcher.report_settings(changed(repeat="unsafe"))
     pending = p.take()
     p.dispatcher.report_committing(pending, 0)
     p.dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)
-    assert kinds(pending) == [Action.SEND, Action.ABANDONED]
+    assert kinds(pending) == [SendAttempt, FailRequest]
 
 
 def test_a_side_effecting_task_under_way_is_not_repeated_when_its_offering_gets_laxer():
@@ -72,7 +73,7 @@
     p.dispatcher.report_settings(changed(repeat="safe"))
     assert p.dispatcher.policy.request_classes[0].idempotency is Idempotency.IDEMPOTENT
     p.dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)
-    assert kinds(pending) == [Action.SEND, Action.ABANDONED]
+    assert kinds(pending) == [SendAttempt, FailRequest]
 
 
 @pytest.mark.parametrize("before, after, sends", [(5, 2, 2), (2, 5, 2), (5, 5, 4)])
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,7 +16,9 @@
 from helpers import LIMITS, OFFERINGS, World, address_of, post
 from helpers import Executor as StandIn
 
-from firwalk.dispatcher.dispatcher import Action, Dispatcher, Endpoint, PendingRequest
+from firwalk.dispatcher.actions import RejectRequest
+from firwalk.dispatcher.dispatcher import Dispatcher, Endpoint, PendingRequest
+from firwalk.dispatcher.endpoint_list import EndpointEntry
 from firwalk.net.address import new_socket, parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
@@ -616,16 +618,16 @@
     async def run():
         dispatcher = Dispatcher({"offerings": OFFERINGS, "limits": LIMITS}, 7, time.time, lambda: None)
         dispatcher.report_list(
-            1, True, [("e0", ("127.0.0.1", 1), "a", "m", 0, EndpointState.READY, 0.0, 1.0)]
+            1, True, [EndpointEntry("e0", ("127.0.0.1", 1), "a", "m", 0, EndpointState.READY, 0.0, 1.0)]
         )
         executors = Executors(dispatcher, Budget(64, int(1e8)), Buffers(), 0.25, 60.0)
         pending = dispatcher.report_request("read", "", 2.0, 0.01, 1.0, 0.0, False)
         step = await dispatcher.next_action(pending)
-        executors.carry(pending, step[1], step[2], b"t", lambda: b"bytes")
+        executors.carry(pending, step.number, step.endpoint, b"t", lambda: b"bytes")
         return await asyncio.wait_for(dispatcher.next_action(pending), 1), executors.budget.links
 
     step, links = asyncio.run(run())
-    assert step[0] is Action.BOUNCED and len(calls) == 2 and links == 0
+    assert isinstance(step, RejectRequest) and len(calls) == 2 and links == 0
 
 
 def test_a_new_configuration_moves_the_list_and_what_is_bad_changes_nothing():
@@ -1030,7 +1032,8 @@
 
 
 def test_what_must_hold_is_counted_in_release_builds():
-    code = "from firwalk import log; [log.must(False, 'x') for _ in 'ab']; print(log.broken)"
+    code = "from firwalk.observability import log; "
+    code += "[log.check_invariant(False, 'x') for _ in 'ab']; print(log.violations)"
     told = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, timeout=10)
     assert told.stdout.strip() == "{'x': 2}" and "does not hold" in told.stderr
     assert (
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -9,7 +9,9 @@
 import pytest
 
 from firwalk.config.node_config import EFFECTS, GROUPS, validate, validate_reload
-from firwalk.dispatcher.dispatcher import Action, Dispatcher
+from firwalk.dispatcher.actions import FailRequest
+from firwalk.dispatcher.dispatcher import Dispatcher
+from firwalk.dispatcher.endpoint_list import EndpointEntry
 from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
 
 SITES = sorted((Path(__file__).parents[1] / "deploy" / "sites").glob("*.toml"))
@@ -117,7 +119,7 @@
             1,
             True,
             [
-                (
+                EndpointEntry(
                     f"e{n}",
                     ("127.0.0.1", 1 + n),
                     site["net"]["zones"][n % 2],
@@ -145,7 +147,7 @@
         dispatcher.report_outcome(pending, 0, Outcome.CONNECTION_LOST)  # it may have run
         again = [a.executor for a in pending.request.attempts[1:]]
         if kind.idempotency is Idempotency.NON_IDEMPOTENT:
-            assert not again and pending.actions[-1][0] is Action.ABANDONED
+            assert not again and isinstance(pending.actions[-1], FailRequest)
         elif (
             again
             and kind.idempotency is Idempotency.KEYED
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -5,7 +5,8 @@
 import pytest
 import uvloop
 
-from firwalk.dispatcher.dispatcher import BackgroundAction, Dispatcher
+from firwalk.dispatcher.actions import WriteLogLine
+from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.net.turns import Turns
 
 
@@ -63,10 +64,10 @@
 
         def step():
             steps[0] += 1
-            dispatcher.background_actions.append((BackgroundAction.NOTE, "standing"))
+            dispatcher.background_actions.append(WriteLogLine("standing"))
             dispatcher._settle(loop.time())
 
         return step
 
     busy(loop_factory, act)
-    assert [at for at, chores in ran if (BackgroundAction.NOTE, "due") in chores] == [2]
+    assert [at for at, chores in ran if WriteLogLine("due") in chores] == [2]
