--- a/firwalk/observability/events.py
+++ b/firwalk/observability/events.py
@@ -1,7 +1,7 @@
-"""What happened to each request and connection, and why: counts, the last events, and all where wanted.
+"""Events of requests and connections with their reasons: counts, the most recent ones, and a stream.
 
-Counting is always on; the stream of all events (JSON, a line each) only where a file is named. No I/O here:
-whoever opens the file hands in a function that writes a line. Times are seconds of the monotonic clock.
+Events are always counted; they are streamed as lines of JSON where the event log has a `write` function.
+Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,18 +12,19 @@
 from time import monotonic
 
 import orjson
+from msgspec import Struct
 
-KEPT_EVENTS = 256  # the last ones, which are told when a rule is seen broken
+KEPT_EVENTS = 256  # the most recent ones, for the history in a violation's log line
 
 
-class EventWord(StrEnum):
-    """A name in the log. Hashed as the string that it is, since events are counted by it."""
+class EventName(StrEnum):
+    """A name in the event log."""
 
-    __hash__ = str.__hash__
+    __hash__ = str.__hash__  # the same as the plain string: names are compared with strings
 
 
-class Event(EventWord):
-    """What can happen."""
+class Event(EventName):
+    """Kinds of events."""
 
     REQUEST_TAKEN = "request_taken"
     REQUEST_ANSWERED = "request_answered"
@@ -38,8 +39,8 @@
     VIOLATION = "violation"
 
 
-class CloseReason(EventWord):
-    """Why a connection ends."""
+class CloseReason(EventName):
+    """Why a connection was closed."""
 
     PEER_LEFT = "peer_left"
     IDLE = "idle"
@@ -57,8 +58,8 @@
     FAILURE = "failure"
 
 
-class FailureReason(EventWord):
-    """Why a request is given up."""
+class FailureReason(EventName):
+    """Why a request was rejected or failed."""
 
     NO_EXECUTOR = "no_executor_in_time"
     DEADLINE = "deadline"
@@ -70,7 +71,7 @@
     DUPLICATE_ID = "duplicate_id"
 
 
-class ProcessState(EventWord):
+class ProcessState(EventName):
     """Phases of the process."""
 
     SERVING = "serving"
@@ -81,28 +82,38 @@
     STOPPED = "stopped"
 
 
+class EventRecord(Struct, frozen=True):
+    """One event. `request` is the request's id, empty where the event belongs to none."""
+
+    at: float
+    event: Event
+    reason: str
+    request: str
+    details: dict[str, object]
+
+
 class EventLog:
-    """Counts of events by reason, and the last ones."""
+    """Counts events by kind and reason, and keeps the most recent ones."""
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[str, str]] = Counter()
-        self.recent: deque[tuple] = deque(maxlen=KEPT_EVENTS)
+        self.recent: deque[EventRecord] = deque(maxlen=KEPT_EVENTS)
         self.write: Callable[[bytes], None] | None = None
 
     def record(self, event: Event, reason: str = "", request: str = "", **details: object) -> None:
-        """Counts one event, keeps it for a while, and streams it where that is wanted."""
+        """Counts an event, keeps it for a while, and streams it if there is a stream."""
         self.counts[event, reason] += 1
-        entry = (monotonic(), event, reason, request, details)
-        self.recent.append(entry)
+        record = EventRecord(monotonic(), event, reason, request, details)
+        self.recent.append(record)
         if self.write is not None:
-            self.write(_line(entry))
+            self.write(_encode(record))
 
     def history(self, request: str) -> list[str]:
-        """What is kept of one request, a line an event."""
-        return [_line(entry).decode() for entry in self.recent if entry[3] == request]
+        """The recent events of one request as lines of JSON, oldest first."""
+        return [_encode(record).decode() for record in self.recent if record.request == request]
 
     def summary(self) -> str:
-        """All counts in one line."""
+        """All counts in one line of text."""
         parts = [
             f"{event}{f'({reason})' if reason else ''} {count}"
             for (event, reason), count in sorted(self.counts.items())
@@ -110,11 +121,10 @@
         return ", ".join(parts) or "nothing happened"
 
 
-def _line(entry: tuple) -> bytes:
-    at, event, reason, request, details = entry
-    told: dict[str, object] = {"at": round(at, 6), "event": event}
-    if request:
-        told["request"] = request
-    if reason:
-        told["reason"] = reason
-    return orjson.dumps(told | details, default=str)
+def _encode(record: EventRecord) -> bytes:
+    fields: dict[str, object] = {"at": round(record.at, 6), "event": record.event}
+    if record.request:
+        fields["request"] = record.request
+    if record.reason:
+        fields["reason"] = record.reason
+    return orjson.dumps(fields | record.details, default=str)
--- a/firwalk/observability/log.py
+++ b/firwalk/observability/log.py
@@ -1,4 +1,4 @@
-"""Lines for the operators on standard error, so many a second at most, and the counts of what must hold."""
+"""Lines for the operators on standard error, limited in rate, and counts of broken invariants."""
 
 from __future__ import annotations
 
@@ -10,113 +10,126 @@
 import traceback
 from time import monotonic
 
-MOST = 20  # different lines a second, of each kind
+MAX_LINES_PER_SECOND = 20  # different lines, of each kind
+MAX_TRACEBACK_LINES = 8
 
-violations: dict[str, int] = {}
+violations: dict[str, int] = {}  # broken invariants and internal errors, by what they say
 
 
-class _Quota:
-    """Passes on so many different lines a second; how many more there were is told afterwards."""
+class _RateLimiter:
+    """Writes a limited number of different lines per second; tells afterwards how many there were beyond."""
 
     def __init__(self) -> None:
-        self.began_at, self.beyond = 0.0, 0
-        self.times: dict[str, int] = {}  # lines of this second, and how often each came
+        self.second_began_at = 0.0
+        self.suppressed_count = 0
+        self.line_counts: dict[str, int] = {}  # of this second
 
-    def say(self, line: str) -> None:
+    def write(self, line: str) -> None:
         now = monotonic()
-        if now - self.began_at >= 1.0:
-            self._begin(now)
-        if line in self.times:
-            self.times[line] += 1
-        elif len(self.times) < MOST:
-            self.times[line] = 1
-            _print(line)
+        if now - self.second_began_at >= 1.0:
+            self._begin_second(now)
+        if line in self.line_counts:
+            self.line_counts[line] += 1
+        elif len(self.line_counts) < MAX_LINES_PER_SECOND:
+            self.line_counts[line] = 1
+            _write_line(line)
         else:
-            self.beyond += 1
+            self.suppressed_count += 1
 
-    def _begin(self, now: float) -> None:
-        for text, times in self.times.items():
-            if times > 1:
-                _print(f"{times - 1} times more: {text}")
-        if self.beyond:
-            _print(f"{self.beyond} lines left out")
-        self.began_at, self.beyond = now, 0
-        self.times.clear()
+    def _begin_second(self, now: float) -> None:
+        for line, count in self.line_counts.items():
+            if count > 1:
+                _write_line(f"{count - 1} times more: {line}")
+        if self.suppressed_count:
+            _write_line(f"{self.suppressed_count} lines left out")
+        self.second_began_at = now
+        self.suppressed_count = 0
+        self.line_counts.clear()
 
 
-_of_peers, _own = _Quota(), _Quota()
+_external_limiter = _RateLimiter()
+_internal_limiter = _RateLimiter()
 
 
 def log_external(line: str) -> None:
-    """What clients, executors and other nodes bring about."""
-    _of_peers.say(line)
+    """Writes a line about what clients, executors and other nodes cause."""
+    _external_limiter.write(line)
 
 
 def log_internal(line: str) -> None:
-    """What the process itself does, and what is wrong with it: no bytes of others crowd it out."""
-    _own.say(line)
+    """Writes a line about the process itself: a limit of its own keeps others from crowding it out."""
+    _internal_limiter.write(line)
 
 
 def log_unlimited(line: str) -> None:
-    """A line whatever the rate: for events that somebody outside counts."""
-    _print(line)
+    """Writes a line at any rate, for events that an outside tool counts."""
+    _write_line(line)
+
 
+class _StandardError:
+    """Standard error, written to without blocking.
 
-class _Output:
-    """Standard error, written to without ever waiting: a collector of logs that stops reading must not hold
-    up the process. What it has no room for is lost, and counted."""
+    A log collector that stops reading must not hold up the process. Lines that find no space in its pipe are
+    lost, and counted.
+    """
 
     def __init__(self) -> None:
-        self.lost, self.cut = 0, False
-        self.piped: bool | None = None
+        self.lost_line_count = 0
+        self.is_line_cut = False
+        self.is_pipe: bool | None = None  # None until the first line
 
     def write(self, line: str) -> None:
+        """Writes a line, or loses it."""
         stream = sys.stderr
-        if stream is None:  # closed before the start: its number may be another file's by now
+        if stream is None:  # closed before the start: its descriptor may be another file's by now
             return
         text = f"firwalk: {line}\n"
         try:
-            self._write(stream.fileno(), text.encode(errors="replace"))
-        except io.UnsupportedOperation:  # a stand-in for it, in a test
+            self._write_bytes(stream.fileno(), text.encode(errors="replace"))
+        except io.UnsupportedOperation:  # a test's substitute without a descriptor
             stream.write(text)
         except (OSError, ValueError):
             pass  # nobody reads the log any more: the process goes on
 
-    def _write(self, file: int, data: bytes) -> None:
-        if self.cut:
+    def _write_bytes(self, descriptor: int, data: bytes) -> None:
+        if self.is_line_cut:
             data = b"\n" + data
-        if self.lost and self._has_room(file):
-            data = b"firwalk: %d lines were lost: nobody read the log\n" % self.lost + data
-            self.lost = 0
+        if self.lost_line_count and self._is_writable(descriptor):
+            notice = b"firwalk: %d lines were lost: nobody read the log\n" % self.lost_line_count
+            data = notice + data
+            self.lost_line_count = 0
         for start in range(0, len(data), select.PIPE_BUF):
-            if not self._has_room(file):
-                self.lost += 1
-                self.cut |= start > 0
+            if not self._is_writable(descriptor):
+                self.lost_line_count += 1
+                self.is_line_cut |= start > 0
                 return
-            os.write(file, data[start : start + select.PIPE_BUF])
-        self.cut = False
-
-    def _has_room(self, file: int) -> bool:
-        """A pipe or socket that polls as writable takes `PIPE_BUF` bytes at once; any other file all."""
-        if self.piped is None:
-            kind = os.fstat(file).st_mode
-            self.piped = stat.S_ISFIFO(kind) or stat.S_ISSOCK(kind)
-        if not self.piped:
+            os.write(descriptor, data[start : start + select.PIPE_BUF])
+        self.is_line_cut = False
+
+    def _is_writable(self, descriptor: int) -> bool:
+        """A pipe or socket that polls as writable takes PIPE_BUF bytes at once; other files take all."""
+        if self.is_pipe is None:
+            mode = os.fstat(descriptor).st_mode
+            self.is_pipe = stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode)
+        if not self.is_pipe:
             return True
         poll = select.poll()
-        poll.register(file, select.POLLOUT)
+        poll.register(descriptor, select.POLLOUT)
         return bool(poll.poll(0))
 
 
-_output = _Output()
+_standard_error = _StandardError()
 
 
-def _print(line: str) -> None:
-    _output.write(line)
+def _write_line(line: str) -> None:
+    _standard_error.write(line)
 
 
 def check_invariant(holds: bool, what: str) -> None:
-    """What must hold: asserted in debug builds; counted and told in release builds (-O)."""
+    """Asserts an invariant; release builds (-O) count and log that it is broken instead.
+
+    Raises AssertionError in debug builds.
+    """
     if __debug__:
         assert holds, what
     elif not holds:
@@ -125,7 +138,8 @@
 
 
 def log_exception(where: str, problem: BaseException) -> None:
-    """An error of our own: told with its place in the code, and the node goes on."""
+    """Counts and logs an unexpected exception, with the end of its traceback in one line."""
     violations[where] = violations.get(where, 0) + 1
-    text = " | ".join(line.strip() for line in traceback.format_exception(problem)[-8:])
+    last_lines = traceback.format_exception(problem)[-MAX_TRACEBACK_LINES:]
+    text = " | ".join(line.strip() for line in last_lines)
     log_internal(f"error while {where} ({violations[where]}): {' '.join(text.split())}")
--- a/firwalk/observability/monitor.py
+++ b/firwalk/observability/monitor.py
@@ -1,8 +1,8 @@
-"""Checks at run time that the rules on requests hold, beside the code that keeps them, and counts violations.
+"""Checks at run time that the guarantees on requests hold, independently of the code that keeps them.
 
-It keeps its own record of each request in work, from what is really done on sockets; it decides nothing and
-prevents nothing. A violation is counted, told to the operators with the request's history, and kept for the
-line of counts at the end. No I/O. Times are seconds on the clock of the decisions.
+The monitor keeps its own record of each request in flight, from what is really done on sockets. It prevents
+nothing: a violation is counted, and logged with the request's history. Times are seconds on the dispatcher's
+clock.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 if TYPE_CHECKING:
     from firwalk.policy.policy import Attempt, Request
 
-LATE_S = 0.5  # past its deadline at which an answer counts as none
+MAX_LATE_S = 0.5  # past its deadline a client takes no answer any more
 NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-REJECTED = (429, 503)
-# Events keep the words that they have always had: collectors of events know them.
+REJECTED_STATUSES = (429, 503)
+# Collectors of events know these words: they differ from the names in the code.
 OUTCOME_REASONS = {
     Outcome.COMPLETED: "finished",
     Outcome.ERROR: "error",
@@ -34,11 +34,11 @@
     Outcome.NOT_SENT: "not_sent",
     Outcome.INVALID: "unfit",
 }
-MAX_HISTORY = 12  # events of a request that are told with a violation
+MAX_HISTORY = 12  # events of a request in a violation's log line
 
 
 class Rule(StrEnum):
-    """What must hold."""
+    """The guarantees, as the log words them."""
 
     ANSWERED = "each request taken is answered before its connection or process ends"
     ANSWERED_ONCE = "a request has one final answer"
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt; committed: its last byte may have been written."""
+    """One attempt; `committed` once its last byte may have been written."""
 
     executor: str
     zone: object
@@ -64,7 +64,10 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request, from its last byte to the end of its last attempt."""
+    """One request, from its arrival to the end of its last attempt.
+
+    `remembered_s` is for how long executors recognize a repeated idempotency key.
+    """
 
     request_id: str
     idempotency: Idempotency
@@ -76,57 +79,63 @@
     released: bool = False
 
     def over(self) -> bool:
-        """Nothing is owed to its client any more."""
+        """Whether its client is owed no answer any more."""
         return bool(self.status) or self.released
 
 
 class Monitor:
-    """Records of requests in work, and the counts of violations."""
+    """Records requests and counts violations."""
 
     def __init__(self, events: EventLog, clock: Callable[[], float]):
-        self.events, self.clock = events, clock
+        self.events = events
+        self.clock = clock
         self.violations: dict[Rule, int] = {}
 
     def violation(self, rule: Rule, request_id: str = "", **details: object) -> None:
-        """Counts a rule that does not hold, and tells it with what is known of the request."""
-        self.violations[rule] = count = self.violations.get(rule, 0) + 1
+        """Counts a violation and logs it with the request's recent events."""
+        count = self.violations.get(rule, 0) + 1
+        self.violations[rule] = count
         history = self.events.history(request_id)[-MAX_HISTORY:] if request_id else []
         self.events.record(Event.VIOLATION, rule.name.lower(), request_id, **details)
-        told = " ".join(f"{name} {value}" for name, value in details.items())
-        about = f"request {request_id or 'none'} {told} {' '.join(history)}"
-        log_internal(f"rule broken ({count}): {rule}: {about.rstrip()}")
+        detail_text = " ".join(f"{name} {value}" for name, value in details.items())
+        text = f"request {request_id or 'none'} {detail_text} {' '.join(history)}"
+        log_internal(f"rule broken ({count}): {rule}: {text.rstrip()}")
 
     # -- requests -------------------------------------------------------------------------------------------
 
-    def taken(self, request_id: str, task: Request, deadline: float) -> RequestRecord:
-        """A request has come, whole."""
-        offering = task.request_class
+    def taken(self, request_id: str, request: Request, deadline: float) -> RequestRecord:
+        """A complete request has arrived."""
+        request_class = request.request_class
         self.events.record(Event.REQUEST_TAKEN, "", request_id, left_s=round(deadline - self.clock(), 4))
         return RequestRecord(
-            request_id, offering.idempotency, offering.deduplication_scope, offering.key_ttl, deadline
+            request_id,
+            request_class.idempotency,
+            request_class.deduplication_scope,
+            request_class.key_ttl,
+            deadline,
         )
 
     def answered(self, record: RequestRecord, status: int, reason: str) -> None:
-        """Its final answer is written."""
+        """The final answer is about to be written."""
         if record.status:
             self.violation(Rule.ANSWERED_ONCE, record.request_id, status=status, before=record.status)
         record.status = status
-        if status in REJECTED and not self._harmless(record):
+        if status in REJECTED_STATUSES and not self._is_retry_harmless(record):
             self.violation(Rule.HARMLESS, record.request_id, status=status)
-        late = self.clock() - record.deadline
-        if late > LATE_S:
-            self.violation(Rule.ANSWERED_IN_TIME, record.request_id, late_s=round(late, 3))
+        late_s = self.clock() - record.deadline
+        if late_s > MAX_LATE_S:
+            self.violation(Rule.ANSWERED_IN_TIME, record.request_id, late_s=round(late_s, 3))
         self.events.record(Event.REQUEST_ANSWERED, reason, record.request_id, status=status)
 
     def released(self, record: RequestRecord, reason: str) -> None:
-        """Nothing is owed for it any more, without an answer: its client left, or another process has it."""
+        """The request ends here without an answer: its client left, or another process has it."""
         if not record.over():
             record.released = True
             self.events.record(Event.REQUEST_RELEASED, reason, record.request_id)
 
     @staticmethod
-    def _harmless(record: RequestRecord) -> bool:
-        """Whether a retry can do no harm: none of it can have run, or running it again changes nothing."""
+    def _is_retry_harmless(record: RequestRecord) -> bool:
+        """Whether none of it can have run, or running it again changes nothing."""
         if record.idempotency is Idempotency.IDEMPOTENT:
             return True
         if record.idempotency is Idempotency.KEYED and record.deduplication_scope is DeduplicationScope.ALL:
@@ -135,29 +144,31 @@
 
     # -- attempts -------------------------------------------------------------------------------------------
 
-    def attempt_begun(self, record: RequestRecord, assignment: Attempt, reason: str) -> None:
+    def attempt_begun(self, record: RequestRecord, attempt: Attempt, reason: str) -> None:
         """The first byte of an attempt is about to be written."""
-        executor, now = assignment.executor, self.clock()
-        attempt = AttemptRecord(executor.ref.name, executor.zone, executor.cell, now)
+        now = self.clock()
+        number = attempt.number
+        executor = attempt.executor
+        attempt_record = AttemptRecord(executor.ref.name, executor.zone, executor.cell, now)
         if record.over():
-            self.violation(Rule.NOTHING_AFTER, record.request_id, attempt=assignment.number)
+            self.violation(Rule.NOTHING_AFTER, record.request_id, attempt=number)
         if now >= record.deadline:
-            self.violation(Rule.IN_TIME, record.request_id, attempt=assignment.number)
-        for number, earlier in record.attempts.items():
-            if number != assignment.number and self._repeats(record, earlier, attempt):
-                self.violation(Rule.ONE_EFFECT, record.request_id, attempt=assignment.number)
+            self.violation(Rule.IN_TIME, record.request_id, attempt=number)
+        for earlier_number, earlier in record.attempts.items():
+            if earlier_number != number and self._may_repeat_effect(record, earlier, attempt_record):
+                self.violation(Rule.ONE_EFFECT, record.request_id, attempt=number)
                 break
-        record.attempts[assignment.number] = attempt
+        record.attempts[number] = attempt_record
         self.events.record(
             Event.ATTEMPT_BEGUN,
             reason,
             record.request_id,
-            attempt=assignment.number,
-            executor=attempt.executor,
+            attempt=number,
+            executor=attempt_record.executor,
         )
 
     @staticmethod
-    def _repeats(record: RequestRecord, earlier: AttemptRecord, attempt: AttemptRecord) -> bool:
+    def _may_repeat_effect(record: RequestRecord, earlier: AttemptRecord, attempt: AttemptRecord) -> bool:
         """Whether the new attempt may have an effect for the second time."""
         if record.idempotency is Idempotency.IDEMPOTENT or not earlier.committed or earlier.never_ran:
             return False
@@ -170,7 +181,7 @@
         return record.deduplication_scope is DeduplicationScope.CELL and earlier.cell != attempt.cell
 
     def attempt_committed(self, record: RequestRecord, number: int) -> None:
-        """Its last byte is about to be written: from here on it may run."""
+        """The last byte of an attempt is about to be written: from here on it may run."""
         if record.over():
             self.violation(Rule.NOTHING_AFTER, record.request_id, attempt=number)
         if number in record.attempts:
@@ -178,21 +189,24 @@
         self.events.record(Event.ATTEMPT_COMMITTED, "", record.request_id, attempt=number)
 
     def attempt_ended(self, record: RequestRecord, number: int, outcome: Outcome) -> None:
-        """How it ended."""
+        """An attempt has ended."""
         if number in record.attempts:
             record.attempts[number].never_ran = outcome in NEVER_RAN
         self.events.record(Event.ATTEMPT_ENDED, OUTCOME_REASONS[outcome], record.request_id, attempt=number)
 
-    def resumed(self, request_id: str, task: Request, deadline: float, begun: set[int]) -> RequestRecord:
-        """A request that another process of this node had goes on here, with its history."""
-        record = self.taken(request_id, task, deadline)
-        for one in task.attempts:
-            record.attempts[one.number] = AttemptRecord(
-                one.executor.ref.name,
-                one.executor.zone,
-                one.executor.cell,
-                one.sent_at,
-                committed=one.number in begun,
-                never_ran=not one.may_have_run,
+    def resumed(self, request_id: str, request: Request, deadline: float, begun: set[int]) -> RequestRecord:
+        """Goes on with a request of another process of this node.
+
+        `begun` has the numbers of the attempts that were committed there.
+        """
+        record = self.taken(request_id, request, deadline)
+        for attempt in request.attempts:
+            record.attempts[attempt.number] = AttemptRecord(
+                attempt.executor.ref.name,
+                attempt.executor.zone,
+                attempt.executor.cell,
+                attempt.sent_at,
+                committed=attempt.number in begun,
+                never_ran=not attempt.may_have_run,
             )
         return record
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -18,31 +18,38 @@
 @pytest.fixture
 def lines(monkeypatch):
     said, now = [], [100.0]
-    monkeypatch.setattr(log, "_print", said.append)
+    monkeypatch.setattr(log, "_write_line", said.append)
     monkeypatch.setattr(log, "monotonic", lambda: now[0])
-    monkeypatch.setattr(log, "_of_peers", log._Quota())
-    monkeypatch.setattr(log, "_own", log._Quota())
+    monkeypatch.setattr(log, "_external_limiter", log._RateLimiter())
+    monkeypatch.setattr(log, "_internal_limiter", log._RateLimiter())
     return said, now
 
 
 def test_what_peers_bring_about_is_limited_and_summed_up(lines):
     said, now = lines
-    for number in range(2 * log.MOST):
+    for number in range(2 * log.MAX_LINES_PER_SECOND):
         log.log_external(f"line {number}")
         log.log_external("line 0")
-    assert len(said) == log.MOST
+    assert len(said) == log.MAX_LINES_PER_SECOND
     now[0] += 1.0
     log.log_external("later")
-    assert said[log.MOST :] == [f"{2 * log.MOST} times more: line 0", f"{log.MOST} lines left out", "later"]
+    assert said[log.MAX_LINES_PER_SECOND :] == [
+        f"{2 * log.MAX_LINES_PER_SECOND} times more: line 0",
+        f"{log.MAX_LINES_PER_SECOND} lines left out",
+        "later",
+    ]
 
 
 def test_what_the_process_does_itself_is_told_whatever_peers_send(lines):
     said, _ = lines
-    for number in range(2 * log.MOST):
+    for number in range(2 * log.MAX_LINES_PER_SECOND):
         log.log_external(f"a client's bytes: {number}")
     log.log_internal("told to end")
     log.log_exception("running timers", ValueError("x"))
-    assert said[log.MOST] == "told to end" and "error while running timers" in said[log.MOST + 1]
+    assert (
+        said[log.MAX_LINES_PER_SECOND] == "told to end"
+        and "error while running timers" in said[log.MAX_LINES_PER_SECOND + 1]
+    )
 
 
 def test_a_node_whose_log_nobody_reads_serves_on_and_ends():
