--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -487,7 +487,7 @@
             return True
         try:
             return method == b"POST" and self.dispatcher.has_request_class(
-                fields.read(target, headers)[1]["request_class"]
+                fields.read(target, headers)[1].request_class
             )
         except fields.Unreadable:
             return False
@@ -529,7 +529,7 @@
         self, client: Client, target: bytes, headers: dict, body: bytes, keep: bool, came_at: float
     ) -> None:
         try:
-            name, told = fields.read(target, headers)
+            name, head = fields.read(target, headers)
         except fields.Unreadable:
             self._refused(b"", 400, FailureReason.BAD_REQUEST)
             await client.answer(400, b"", keep)
@@ -545,9 +545,19 @@
             await client.answer(409, b"", keep)
             return
         pending = self.dispatcher.report_request(
-            waited=monotonic() - came_at, request_id=name.decode("latin-1"), **told
+            head.request_class,
+            head.tenant,
+            head.budget_s,
+            head.cost_s,
+            head.slots,
+            head.memory,
+            head.is_retry,
+            marked=head.has_idempotency_key,
+            waited=monotonic() - came_at,
+            key=head.routing_key,
+            request_id=name.decode("latin-1"),
         )
-        if pending is None and told["request_class"] in self.dispatcher.removed_classes:
+        if pending is None and head.request_class in self.dispatcher.removed_classes:
             self._refused(name, 503, FailureReason.CLASS_GONE)
             await client.answer(
                 503, b"", keep, self.dispatcher.policy.max_retry_after
@@ -556,7 +566,7 @@
         if pending is None:
             self._refused(name, 400, FailureReason.BAD_REQUEST)
             await client.answer(
-                400 if told["request_class"] in self.dispatcher.request_classes else 404, b"", keep
+                400 if head.request_class in self.dispatcher.request_classes else 404, b"", keep
             )
             return
         client.pending, client.known, self.names[name] = pending, True, None
--- a/firwalk/net/listing.py
+++ b/firwalk/net/listing.py
@@ -1,112 +1,121 @@
-"""Reads updates of the list of executors.
+"""Reads updates of the endpoint list.
 
-The service that keeps the list may be newer, older or in trouble. An entry that names no executor is left
-out; a field that tells nothing is taken as not given, since the executor itself must not go stale for it.
+The service that sends them may be newer, older or faulty. An entry that names no executor is left out; a
+field that cannot be used is taken as not given, so that the rest of its entry still counts.
 """
 
 from __future__ import annotations
 
 from functools import lru_cache
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import orjson
 
+from firwalk.dispatcher.endpoint_list import EndpointEntry
 from firwalk.net import http
 from firwalk.net.address import parse
 from firwalk.observability.log import log_external
 from firwalk.policy.interface import EndpointState
 
 LIFECYCLES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
-ADDRESSES_KEPT = 8192  # of all that were read
-MOST_CELL = 1 << 31
-MOST_STARTED_MS = 1e14  # the year 5138
-LEAST_SIZE, MOST_SIZE = 1.0, 1e6
+MAX_CACHED_ADDRESSES = 8192
+MAX_CELL = 1 << 31
+MAX_STARTED_MS = 1e14  # the year 5138
+MIN_WEIGHT = 1.0
+MAX_WEIGHT = 1e6
+
+Json = Any  # what JSON text was read to, not checked yet
 
 
 class Update(NamedTuple):
-    """`whole`: what `entries` do not name is gone. An entry is what `Desk.report_list` takes."""
+    """An update of the list; a `whole` one removes what it does not name."""
 
     version: int
     whole: bool
-    entries: list[tuple]
+    entries: list[EndpointEntry]
 
 
 class Unreadable(ValueError):
-    """An entry that names no executor; the text says why."""
+    """An entry names no executor; the text says why."""
 
 
-def read(text: bytes | dict) -> Update:
-    """Malformed, if it is no update."""
+def read(text: bytes | Json) -> Update:
+    """Reads an update from JSON, or from what JSON was read to. Raises http.Malformed."""
     try:
-        news = orjson.loads(text) if isinstance(text, bytes) else text
-        version, whole, instances = int(news["generation"]), bool(news.get("reset")), news["instances"]
+        update: Json = orjson.loads(text) if isinstance(text, bytes) else text
+        version = int(update["generation"])
+        is_whole = bool(update.get("reset"))
+        instances = update["instances"]
         if not isinstance(instances, list):
             raise TypeError("instances is no list")
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as problem:
         raise http.Malformed(400, f"not a list of executors: {problem!r}") from problem
-    return Update(version, whole, _entries(instances))
+    return Update(version, is_whole, _read_entries(instances))
 
 
-def _entries(instances: list) -> list[tuple]:
-    found, faults = [], []
+def _read_entries(instances: list[object]) -> list[EndpointEntry]:
+    entries = []
+    faults = []
     for instance in instances:
         try:
-            found.append(_entry(instance))
+            entries.append(_read_entry(instance))
         except ValueError as problem:
             faults.append(problem)
     if faults:
         log_external(
             f"{len(faults)} of {len(instances)} entries of the list are left out; the first: {faults[0]}"
         )
-    return found
+    return entries
 
 
-def _entry(instance: object) -> tuple:
+def _read_entry(instance: object) -> EndpointEntry:
     if not isinstance(instance, dict):
         raise Unreadable(f"{instance!r:.60} is no object")
-    name, address = instance.get("instanceId"), instance.get("hostPort")
+    name = instance.get("instanceId")
+    address = instance.get("hostPort")
     if not isinstance(name, str) or not name:
         raise Unreadable(f"instanceId: {name!r:.60}")
     if not isinstance(address, str):
         raise Unreadable(f"{name:.60}: hostPort: {address!r:.60}")
-    return (
+    return EndpointEntry(
         name,
-        _parsed(address),
-        _word(instance.get("zone")),
-        _word(instance.get("machineType")),
-        _cell(instance.get("cell")),
-        _condition(instance.get("lifecycle")),
-        _started(instance.get("startedAtMs")),
-        _size(instance.get("weight")),
+        _parse_address(address),
+        _read_name(instance.get("zone")),
+        _read_name(instance.get("machineType")),
+        _read_cell(instance.get("cell")),
+        _read_state(instance.get("lifecycle")),
+        _read_started_at(instance.get("startedAtMs")),
+        _read_weight(instance.get("weight")),
     )
 
 
-@lru_cache(ADDRESSES_KEPT)
-def _parsed(address: str) -> tuple[str, int]:
-    """ValueError. Whole lists name the same ones again and again."""
+@lru_cache(MAX_CACHED_ADDRESSES)  # whole lists name the same addresses again and again
+def _parse_address(address: str) -> tuple[str, int]:
     return parse(address)
 
 
-def _word(value: object) -> str:
+def _read_name(value: object) -> str:
     return value if isinstance(value, str) else ""
 
 
-def _cell(value: object) -> int:
-    return value if isinstance(value, int) and 0 <= value < MOST_CELL else 0
+def _read_cell(value: object) -> int:
+    return value if isinstance(value, int) and 0 <= value < MAX_CELL else 0
 
 
-def _condition(value: object) -> EndpointState:
-    """Other words than the known ones: nothing new goes there."""
+def _read_state(value: object) -> EndpointState:
+    """An executor in an unknown state gets nothing new."""
     return LIFECYCLES.get(value, EndpointState.DRAINING) if isinstance(value, str) else EndpointState.DRAINING
 
 
-def _started(value: object) -> float:
-    """Unix time in seconds; 0: long ago."""
-    fits = isinstance(value, int | float) and 0.0 <= value <= MOST_STARTED_MS
-    return value / 1e3 if fits else 0.0
+def _read_started_at(value: object) -> float:
+    """Unix time in seconds; 0 where it is not known."""
+    if isinstance(value, int | float) and 0.0 <= value <= MAX_STARTED_MS:
+        return value / 1e3
+    return 0.0
 
 
-def _size(value: object) -> float:
-    """One without a usable figure counts as the smallest."""
-    fits = isinstance(value, int | float) and LEAST_SIZE <= value < MOST_SIZE
-    return float(value) if fits else LEAST_SIZE
+def _read_weight(value: object) -> float:
+    """The least weight where it is not known."""
+    if isinstance(value, int | float) and MIN_WEIGHT <= value < MAX_WEIGHT:
+        return float(value)
+    return MIN_WEIGHT
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -405,7 +405,20 @@
 )
 def test_head_of_a_task_is_read(target, headers, name, told):
     """What the decisions are told of a task."""
-    assert fields.read(target, headers) == (name, told)
+    request_id, head = fields.read(target, headers)
+    read = {
+        "request_class": head.request_class,
+        "tenant": head.tenant,
+        "budget": head.budget_s,
+        "cost": head.cost_s,
+        "slots": head.slots,
+        "memory": head.memory,
+        "again": head.is_retry,
+        "marked": head.has_idempotency_key,
+        "key": head.routing_key,
+    }
+    assert (request_id, read) == (name, told)
+    assert len(read) == len(head.__struct_fields__)
 
 
 @pytest.mark.parametrize(
