--- a/firwalk/dispatcher/actions.py
+++ b/firwalk/dispatcher/actions.py
@@ -5,12 +5,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from msgspec import Struct
 
-if TYPE_CHECKING:
-    from firwalk.dispatcher.pending_request import Endpoint
+from firwalk.dispatcher.endpoint import Endpoint
 
 
 class SendAttempt(Struct, frozen=True):
--- a/firwalk/dispatcher/dispatcher.py
+++ b/firwalk/dispatcher/dispatcher.py
@@ -15,9 +15,10 @@
 from firwalk.config.node_config import build_policy, reconfigure
 from firwalk.dispatcher import zone_view
 from firwalk.dispatcher.actions import Action, CompleteRequest, RejectInvalidRequest
+from firwalk.dispatcher.endpoint import Endpoint
 from firwalk.dispatcher.endpoint_list import EndpointEntry, EndpointFields, EndpointList
 from firwalk.dispatcher.load_report import parse_load_report
-from firwalk.dispatcher.pending_request import Endpoint, PendingRequest, RequestLabels, limit_budget
+from firwalk.dispatcher.pending_request import PendingRequest, RequestLabels, limit_budget
 from firwalk.dispatcher.policy_host import RESPONSE_MARGIN_S, PolicyHost, is_terminal
 from firwalk.policy.interface import Idempotency, Outcome
 from firwalk.policy.policy import Executor
--- a/firwalk/dispatcher/endpoint_list.py
+++ b/firwalk/dispatcher/endpoint_list.py
@@ -9,9 +9,9 @@
 from typing import NamedTuple
 from zlib import crc32
 
+from firwalk.dispatcher.endpoint import Endpoint
 from firwalk.dispatcher.failure_gossip import ExecutorIndex
 from firwalk.dispatcher.maintenance import Maintenance
-from firwalk.dispatcher.pending_request import Endpoint
 from firwalk.policy.interface import EndpointState
 from firwalk.policy.policy import Executor, Policy
 
--- a/firwalk/dispatcher/pending_request.py
+++ b/firwalk/dispatcher/pending_request.py
@@ -16,14 +16,6 @@
     from firwalk.policy.policy import Request
 
 
-class Endpoint:
-    """The name of an executor and where it listens."""
-
-    def __init__(self, name: str, address: tuple[str, int]):
-        self.name = name
-        self.address = address
-
-
 class RequestLabels(NamedTuple):
     """The names by which requests are counted."""
 
