--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -11,7 +11,15 @@
 from itertools import islice
 from time import monotonic
 
-from firwalk.dispatcher.dispatcher import Action, Dispatcher, PendingRequest
+from firwalk.dispatcher.actions import (
+    CancelAttempt,
+    CompleteRequest,
+    FailRequest,
+    RejectInvalidRequest,
+    RejectRequest,
+    SendAttempt,
+)
+from firwalk.dispatcher.dispatcher import Dispatcher, PendingRequest
 from firwalk.net import fields, http
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
@@ -479,7 +487,7 @@
             return True
         try:
             return method == b"POST" and self.dispatcher.has_request_class(
-                fields.read(target, headers)[1]["request_class"]
+                fields.read(target, headers)[1].request_class
             )
         except fields.Unreadable:
             return False
@@ -521,7 +529,7 @@
         self, client: Client, target: bytes, headers: dict, body: bytes, keep: bool, came_at: float
     ) -> None:
         try:
-            name, told = fields.read(target, headers)
+            name, head = fields.read(target, headers)
         except fields.Unreadable:
             self._refused(b"", 400, FailureReason.BAD_REQUEST)
             await client.answer(400, b"", keep)
@@ -537,9 +545,19 @@
             await client.answer(409, b"", keep)
             return
         pending = self.dispatcher.report_request(
-            waited=monotonic() - came_at, request_id=name.decode("latin-1"), **told
+            head.request_class,
+            head.tenant,
+            head.budget_s,
+            head.cost_s,
+            head.slots,
+            head.memory,
+            head.is_retry,
+            marked=head.has_idempotency_key,
+            waited=monotonic() - came_at,
+            key=head.routing_key,
+            request_id=name.decode("latin-1"),
         )
-        if pending is None and told["request_class"] in self.dispatcher.removed_classes:
+        if pending is None and head.request_class in self.dispatcher.removed_classes:
             self._refused(name, 503, FailureReason.CLASS_GONE)
             await client.answer(
                 503, b"", keep, self.dispatcher.policy.max_retry_after
@@ -548,7 +566,7 @@
         if pending is None:
             self._refused(name, 400, FailureReason.BAD_REQUEST)
             await client.answer(
-                400 if told["request_class"] in self.dispatcher.request_classes else 404, b"", keep
+                400 if head.request_class in self.dispatcher.request_classes else 404, b"", keep
             )
             return
         client.pending, client.known, self.names[name] = pending, True, None
@@ -584,30 +602,30 @@
         keep: bool,
     ) -> None:
         """Does what each step says, until nothing more can come."""
-        while (step := await self.dispatcher.next_action(pending)) is not None:
-            kind = step[0]
-            if kind is Action.SEND:
-                _, number, place, end, once = step
-                self.executors.carry(
-                    pending,
-                    number,
-                    place,
-                    name,
-                    _message(target, headers, body, end, self.dispatcher.clock),
-                    once,
-                )
-            elif kind is Action.CALL_OFF:
-                self.executors.call_off(pending, step[1])
-            elif client.pending is not pending:
-                pass  # the client has been sent away meanwhile
-            elif kind is Action.FINISHED:
-                self._answer(client, 200, step[1], keep)
-            elif kind is Action.BOUNCED:
-                self._answer(client, 503, b"", keep, step[1], pending.failure_reason)
-            elif kind is Action.UNFIT:
-                self._answer(client, 400, b"", keep, reason=FailureReason.BAD_REQUEST)
-            else:
-                self._answer(client, 500, b"", keep, reason=pending.failure_reason)
+        while (action := await self.dispatcher.next_action(pending)) is not None:
+            match action:
+                case SendAttempt():
+                    message = _message(target, headers, body, action.deadline, self.dispatcher.clock)
+                    self.executors.carry(
+                        pending,
+                        action.number,
+                        action.endpoint,
+                        name,
+                        message,
+                        action.is_non_idempotent,
+                    )
+                case CancelAttempt():
+                    self.executors.call_off(pending, action.number)
+                case _ if client.pending is not pending:
+                    pass  # the client has been sent away meanwhile
+                case CompleteRequest():
+                    self._answer(client, 200, action.result, keep)
+                case RejectRequest():
+                    self._answer(client, 503, b"", keep, action.retry_after_s, pending.failure_reason)
+                case RejectInvalidRequest():
+                    self._answer(client, 400, b"", keep, reason=FailureReason.BAD_REQUEST)
+                case FailRequest():
+                    self._answer(client, 500, b"", keep, reason=pending.failure_reason)
 
     def _refused(self, request_id: bytes, status: int, reason: FailureReason) -> None:
         """Counts a request that is turned away before it is anybody's."""
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -7,7 +7,7 @@
 import sys
 
 from firwalk.cluster import lease, plan, plan_follower
-from firwalk.dispatcher import dispatcher
+from firwalk.dispatcher import policy_host
 from firwalk.net import clients
 from firwalk.policy import policy, retries, selection, slow_start
 from firwalk.policy.interface import EndpointState, Outcome
@@ -67,7 +67,7 @@
 
     policy.Policy.attempt_ended = ended
     retries.RetryLimits.is_safe = lambda self, now, request, executor, earlier: len(earlier) < 3
-    dispatcher.LAST = (Outcome.INVALID,)
+    policy_host.TERMINAL_OUTCOMES = (Outcome.INVALID,)
 
 
 def does_not_hear_of_drains():
--- a/tests/soak/faulty.py
+++ b/tests/soak/faulty.py
@@ -77,7 +77,7 @@
         await real(self, *rest)
 
     clients.Clients._task = task
-    dispatcher.Dispatcher.report_gone = lambda self, pending, reason="": None
+    dispatcher.Dispatcher.report_client_left = lambda self, pending, reason="": None
     clients.hung_up = lambda sock: False
 
 
@@ -102,15 +102,15 @@
 
 
 def crashes():
-    real = dispatcher.Dispatcher.report_task
+    real = dispatcher.Dispatcher.report_request
 
-    def report_task(self, *rest, **more):
+    def report_request(self, *rest, **more):
         if time.monotonic() > crash_at:
             os._exit(3)
         return real(self, *rest, **more)
 
     crash_at = time.monotonic() + 3.0
-    dispatcher.Dispatcher.report_task = report_task
+    dispatcher.Dispatcher.report_request = report_request
 
 
 def does_not_begin():
