--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -72,7 +72,7 @@
         hold: float = 3.0,
         zones: ZonePolicy | None = None,
         budgets_by: QuotaPolicy | None = None,
-    ):
+    ) -> None:
         self.host = host
         self.seat = seat  # the node id
         self.seats = seats  # the cluster size
--- a/firwalk/cluster/health_observations.py
+++ b/firwalk/cluster/health_observations.py
@@ -10,6 +10,7 @@
 from bisect import insort
 from collections.abc import Callable
 
+from firwalk.cluster import messages
 from firwalk.cluster.messages import MOST_ZONES, HealthObservations
 from firwalk.cluster.zone_observation import MIN_ATTEMPTS, ZoneObservation
 
@@ -18,8 +19,6 @@
 MAX_START_DELAYS = 65  # per zone and report, kept for the median
 MAX_CARRIED_REPORTS = 6  # reports over which too few attempts for a vote add up
 
-ObservationRow = tuple[int, int, int, int, int, int]  # as in `HealthObservations.views`
-
 
 class HealthObserver:
     """Counts the outcomes of attempts and health checks by zone, and the demand of the node's own clients.
@@ -118,9 +117,9 @@
         observation.errors += observation.unreachable
         observation.unreachable = 0
 
-    def _row(self, zone: int, capacities: list[float]) -> ObservationRow:
+    def _row(self, zone: int, capacities: list[float]) -> messages.ZoneObservation:
         observation = self.observations[zone]
-        return (
+        return messages.ZoneObservation(
             zone,
             observation.attempts,
             observation.unreachable,
--- a/firwalk/cluster/lease.py
+++ b/firwalk/cluster/lease.py
@@ -34,7 +34,7 @@
     granted before has expired on any clock.
     """
 
-    def __init__(self, host: Host, generation: int, now: float, *, lease_s: float, drift: float):
+    def __init__(self, host: Host, generation: int, now: float, *, lease_s: float, drift: float) -> None:
         self.host = host
         self.generation = generation
         self.lease_s = lease_s
@@ -103,7 +103,7 @@
         *,
         lease_s: float,
         drift: float,
-    ):
+    ) -> None:
         self.host = host
         self.node_id = node_id
         self.generation = generation
--- a/firwalk/cluster/member.py
+++ b/firwalk/cluster/member.py
@@ -11,7 +11,7 @@
 class Member:
     """One member as this node sees it."""
 
-    def __init__(self, node_id: int):
+    def __init__(self, node_id: int) -> None:
         self.node_id = node_id
         self.state = State.DOWN
         self.incarnation = 0
@@ -35,7 +35,7 @@
 class Probe:
     """One ping of one member until its period is over."""
 
-    def __init__(self, number: int, member: Member, requester: Requester | None):
+    def __init__(self, number: int, member: Member, requester: Requester | None) -> None:
         self.number = number
         self.member = member
         self.requester = requester
--- a/firwalk/cluster/members.py
+++ b/firwalk/cluster/members.py
@@ -66,7 +66,7 @@
         *,
         period: float,
         answer: float,
-    ):
+    ) -> None:
         self.host = host
         self.random_source = random_source
         self.period = period
--- a/firwalk/cluster/operator_commands.py
+++ b/firwalk/cluster/operator_commands.py
@@ -29,7 +29,7 @@
 class CommandSender:
     """Sends commands to the leader until it answers."""
 
-    def __init__(self, host: Host, follower: PlanFollower):
+    def __init__(self, host: Host, follower: PlanFollower) -> None:
         self.host = host
         self.follower = follower
         self.last_number = 0
--- a/firwalk/cluster/plan.py
+++ b/firwalk/cluster/plan.py
@@ -57,7 +57,7 @@
 class PlanAssembly:
     """The pieces received so far of one plan."""
 
-    def __init__(self, first: Piece):
+    def __init__(self, first: Piece) -> None:
         self.stamp = PlanStamp(first.term, first.version)
         self.count = first.count
         self.checksum = first.check
--- a/firwalk/cluster/plan_enforcement.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -138,7 +138,7 @@
             return 0.0
         if self.quotas is None:
             return 1.0
-        return self.quotas.admission_weight(request, *request.ref.labels)  # type: ignore[attr-defined]
+        return self.quotas.admission_weight(request, *request.ref.labels)
 
     def _admit_to_zone(self, request: Request) -> bool:
         """Sets the request's preferred zone; False: the cluster has no capacity for it."""
@@ -154,7 +154,7 @@
         if self.is_reachable[self.zone] and not self._is_own_zone_drained():
             return True  # What fits nowhere stays local where the zone can be reached.
         interval_s = self.member.follower.report
-        request.ref.retry_after = RETRY_AFTER_REPORTS * interval_s * (0.5 + draw)  # type: ignore[attr-defined]
+        request.ref.retry_after = RETRY_AFTER_REPORTS * interval_s * (0.5 + draw)
         return False
 
     def _is_own_zone_drained(self) -> bool:
--- a/firwalk/cluster/plan_follower.py
+++ b/firwalk/cluster/plan_follower.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self, host: Host, node_id: int, random_source: RandomSource, *, report: float, hold_s: float
-    ):
+    ) -> None:
         self.host = host
         self.node_id = node_id
         self.random_source = random_source
--- a/firwalk/cluster/plan_publisher.py
+++ b/firwalk/cluster/plan_publisher.py
@@ -56,7 +56,7 @@
         follower: PlanFollower,
         random_source: RandomSource,
         node_ids_up: Callable[[], list[int]],
-    ):
+    ) -> None:
         self.host = host
         self.proposer = proposer
         self.follower = follower
--- a/firwalk/cluster/quota_allocator.py
+++ b/firwalk/cluster/quota_allocator.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from firwalk.cluster.messages import QuotaGrant, QuotaRequest
+from firwalk.cluster.messages import QuotaGrant, QuotaGrantRow, QuotaRequest
 from firwalk.cluster.quota_book import HolderLeases, LeaseHolder, QuotaBook
 from firwalk.cluster.quota_contracts import ContractSet, QuotaPolicy
 
@@ -124,7 +124,7 @@
             whole = side.wholes[team]
             part = self._grant(now, TenantRequest(holder, got.mark, name, whole, wanted, used_mark, held))
             if part is not None:
-                rows.append((team, part))
+                rows.append(QuotaGrantRow(team, part))
         if now < self.renews_until:
             self._count_turn(node, generation, got)
         return QuotaGrant(got.mark, got.check, int(self.terms.length * 1e3), rows) if rows else None
--- a/firwalk/cluster/quota_client.py
+++ b/firwalk/cluster/quota_client.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, Protocol
 
 from firwalk.cluster.host import Host
-from firwalk.cluster.messages import MOST_ROWS, NOBODY, Ballot, QuotaGrant, QuotaRequest
+from firwalk.cluster.messages import MOST_ROWS, NOBODY, Ballot, QuotaGrant, QuotaRequest, QuotaRequestRow
 from firwalk.cluster.quota_contracts import QuotaPolicy
 
 REQUESTS_PER_LEASE = 4
@@ -109,7 +109,7 @@
             request = QuotaRequest(self.mark, self.check, self.ready, rows, first, last)
             self.host.tell(office[1], request)
 
-    def _row(self, demand: Demand) -> tuple[int, int, int, int]:
+    def _row(self, demand: Demand) -> QuotaRequestRow:
         """Without demand and lease all earlier requests are closed. An answer on its way would otherwise make
         a lease that the coordinator does not know of any more."""
         team, wanted, held = demand
@@ -117,7 +117,7 @@
         if not wanted and not held:
             del self.requested[team]
             self.used_marks[team] = self.mark
-        return team, wanted, self.mark - self.used_marks.get(team, 0), held
+        return QuotaRequestRow(team, wanted, self.mark - self.used_marks.get(team, 0), held)
 
     def grant_came(self, now: float, sender: int, got: QuotaGrant) -> None:
         """Uses the granted leases; they count from the request, and never replace a later answer."""
--- a/firwalk/cluster/quota_coordination.py
+++ b/firwalk/cluster/quota_coordination.py
@@ -74,7 +74,7 @@
         contracts: ContractStore,
         publisher: PlanPublisher,
         members: Members,
-    ):
+    ) -> None:
         self.host = host
         self.policy = policy
         self.contracts = contracts
--- a/firwalk/cluster/random_source.py
+++ b/firwalk/cluster/random_source.py
@@ -14,7 +14,7 @@
 class RandomSource:
     """Numbers from CRC-32 of the seed and a counter: spread well enough for jitter, not for secrets."""
 
-    def __init__(self, seed: int):
+    def __init__(self, seed: int) -> None:
         self.seed = seed
         self.counter = 0
 
--- a/firwalk/cluster/rollout_policy.py
+++ b/firwalk/cluster/rollout_policy.py
@@ -23,9 +23,17 @@
 class RolloutFile(Protocol):
     """An operator's file (`firwalk.config.rollout_file.RolloutSpec`)."""
 
-    before: str
-    stages: list[Any]
-    compare: Any
+    @property
+    def before(self) -> str:
+        """The name of the version before."""
+
+    @property
+    def stages(self) -> list[Any]:
+        """Which nodes have it after each stage."""
+
+    @property
+    def compare(self) -> Any:
+        """The limits that new nodes are compared for."""
 
     def what(self) -> str:
         """The name of the new version."""
--- a/firwalk/cluster/zone_coordination.py
+++ b/firwalk/cluster/zone_coordination.py
@@ -41,7 +41,7 @@
     until they are set.
     """
 
-    def __init__(self, host: Host, node_id: int, follower: PlanFollower):
+    def __init__(self, host: Host, node_id: int, follower: PlanFollower) -> None:
         self.host = host
         self.node_id = node_id
         self.follower = follower
@@ -87,7 +87,7 @@
         publisher: PlanPublisher,
         members: Members,
         reporter: ZoneReporter,
-    ):
+    ) -> None:
         self.host = host
         self.node_id = node_id
         self.policy = policy
--- a/firwalk/dispatcher/actions.py
+++ b/firwalk/dispatcher/actions.py
@@ -5,12 +5,13 @@
 
 from __future__ import annotations
 
-from msgspec import Struct
+from dataclasses import dataclass
 
 from firwalk.dispatcher.endpoint import Endpoint
 
 
-class SendAttempt(Struct, frozen=True):
+@dataclass(slots=True)
+class SendAttempt:
     """Send one attempt of the request to an executor.
 
     `deadline` is when the attempt must have ended, in seconds on the dispatcher's clock.
@@ -23,29 +24,34 @@
     is_non_idempotent: bool
 
 
-class CancelAttempt(Struct, frozen=True):
+@dataclass(slots=True)
+class CancelAttempt:
     """Cancel an attempt that is in flight."""
 
     number: int
 
 
-class CompleteRequest(Struct, frozen=True):
+@dataclass(slots=True)
+class CompleteRequest:
     """Answer the client with the result."""
 
     result: bytes
 
 
-class RejectRequest(Struct, frozen=True):
+@dataclass(slots=True)
+class RejectRequest:
     """Answer that a retry is harmless; a `retry_after_s` of 0 gives no advice on when."""
 
     retry_after_s: float
 
 
-class FailRequest(Struct, frozen=True):
+@dataclass(slots=True)
+class FailRequest:
     """Answer that the outcome is unknown."""
 
 
-class RejectInvalidRequest(Struct, frozen=True):
+@dataclass(slots=True)
+class RejectInvalidRequest:
     """Answer that the request itself is invalid, as an executor found."""
 
 
@@ -53,36 +59,42 @@
 Action = SendAttempt | CancelAttempt | FinalAnswer
 
 
-class CheckHealth(Struct, frozen=True):
+@dataclass(slots=True)
+class CheckHealth:
     """Ask an executor for its load report; the answer is awaited for `timeout_s`."""
 
     endpoint: Endpoint
     timeout_s: float
 
 
-class CloseIdleConnections(Struct, frozen=True):
+@dataclass(slots=True)
+class CloseIdleConnections:
     """Close the connections to an executor that carry no request."""
 
     endpoint: Endpoint
 
 
-class WatchEndpoints(Struct, frozen=True):
+@dataclass(slots=True)
+class WatchEndpoints:
     """Open the watch of the endpoint list, or close it."""
 
     is_on: bool
 
 
-class FetchEndpoints(Struct, frozen=True):
+@dataclass(slots=True)
+class FetchEndpoints:
     """Fetch the whole endpoint list once."""
 
 
-class GossipFailure(Struct, frozen=True):
+@dataclass(slots=True)
+class GossipFailure:
     """Send the content to all peers: an executor erred."""
 
     content: bytes
 
 
-class WriteLogLine(Struct, frozen=True):
+@dataclass(slots=True)
+class WriteLogLine:
     """Write a line for the operators."""
 
     text: str
--- a/firwalk/dispatcher/dispatcher.py
+++ b/firwalk/dispatcher/dispatcher.py
@@ -35,7 +35,9 @@
 class Dispatcher(PolicyHost):
     """One node's requests, attempts and executors."""
 
-    def __init__(self, settings: Settings, seed: int, clock: Callable[[], float], wake: Callable[[], None]):
+    def __init__(
+        self, settings: Settings, seed: int, clock: Callable[[], float], wake: Callable[[], None]
+    ) -> None:
         super().__init__(clock, wake)
         self.shutdown_deadline = inf
         self.settings = settings
--- a/firwalk/dispatcher/endpoint_list.py
+++ b/firwalk/dispatcher/endpoint_list.py
@@ -48,7 +48,7 @@
         zones: Mapping[str, int],
         kinds: Mapping[str, int],
         close_idle_connections: Callable[[Executor], None],
-    ):
+    ) -> None:
         self.policy = policy
         self.zones = zones
         self.kinds = kinds
--- a/firwalk/dispatcher/policy_host.py
+++ b/firwalk/dispatcher/policy_host.py
@@ -62,7 +62,7 @@
 
     policy: Policy
 
-    def __init__(self, clock: Callable[[], float], wake: Callable[[], None]):
+    def __init__(self, clock: Callable[[], float], wake: Callable[[], None]) -> None:
         self.clock = clock
         self.wake = wake
         self.events = EventLog()
--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -61,7 +61,11 @@
         self.parser = http.Incoming(self._came, clients.budget.hold, clients.budget.let_go)
         self.waiting: deque[tuple] = deque()
         self.room = asyncio.get_running_loop().create_future()
-        self.busy, self.used, self.known, self.pending, self.writing = False, False, False, None, None
+        self.busy = False
+        self.used = False
+        self.known = False
+        self.pending: PendingRequest | None = None
+        self.writing: asyncio.Task | None = None
         self.message: tuple = ()  # of its task: id, target, headers, body, keep
         self.heard_at, self.closing, self.gone = monotonic(), False, False
         # What is there already when it is let in may have waited since then; None once that is read.
--- a/firwalk/net/cluster.py
+++ b/firwalk/net/cluster.py
@@ -5,11 +5,10 @@
 
 from __future__ import annotations
 
-import asyncio
 import os
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from firwalk.cluster import messages
 from firwalk.cluster.cluster_member import ClusterMember
@@ -17,7 +16,6 @@
 from firwalk.config.operations import LIVE, OperationsConfig
 from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.net.cluster_commands import ClusterCommands, Command, CommandWithArgument
-from firwalk.net.cluster_events import log_event_json, log_event_text
 from firwalk.net.cluster_host import ClusterHost
 from firwalk.net.cluster_parts import (
     build_quota_accounting,
@@ -25,19 +23,16 @@
     build_rollout_controller,
     load_contracts,
 )
+from firwalk.net.cluster_state import ClusterState
 from firwalk.observability.log import log_exception
 
-if TYPE_CHECKING:
-    from firwalk.cluster.quota_accounting import QuotaAccounting
-    from firwalk.cluster.rollout_controller import RolloutController
-
 GENERATION_BYTES = 4
 
 
-class Cluster:
+class Cluster(ClusterState):
     """The node's member of the cluster, for as long as this process speaks for the node.
 
-    Each start makes a new generation. `seat` is None while another process speaks for the node.
+    Each start makes a new generation.
     """
 
     def __init__(
@@ -47,26 +42,8 @@
         send: Callable[[bytes, tuple[str, int]], None],
         addresses: list[tuple[str, int]],
         dispatcher: Dispatcher,
-    ):
-        self.operations = operations
-        self.send = send
-        self.addresses = addresses
-        self.dispatcher = dispatcher
-        self.zone: int = config["settings"].get("az", 0)
-        self.zones: list[str] = config["settings"].get("azs") or []
-        self.number: int = config["settings"].get("self-index", 0)
-        self.checksum = messages.cluster_checksum(operations.fleet.name)
-        self.seat: ClusterMember | None = None
-        self.steering: PlanEnforcer | None = None
-        self.spending: QuotaAccounting | None = None
-        self.changing: RolloutController | None = None
-        self.tag: Callable[[], str] = lambda: ""  # of the configuration in force
-        self.received = 0
-        self.sent = 0
-        self.bytes_sent = 0
-        self.strangers: Callable[[], int] = lambda: 0  # datagrams from addresses of no node
-        self.dropped: dict[str, int] = {}  # datagrams, by the reason
-        self.loop = asyncio.get_running_loop()
+    ) -> None:
+        super().__init__(operations, config, send, addresses, dispatcher)
         self.commands = ClusterCommands(self)
 
     # -- start and end -------------------------------------------------------------------------------------
@@ -208,10 +185,3 @@
     def calls_with(self) -> dict[str, CommandWithArgument]:
         """Return the operators' commands that take an argument, by the text before it."""
         return self.commands.with_argument()
-
-    def event(self, what: str, **fields: object) -> None:
-        """Record an event: all of them as JSON, or those that matter to operators as sentences."""
-        if self.operations.log.events == "all":
-            log_event_json(what, self.number, self.seat.generation if self.seat else 0, fields)
-        else:
-            log_event_text(what, fields)
--- a/firwalk/net/cluster_commands.py
+++ b/firwalk/net/cluster_commands.py
@@ -15,7 +15,7 @@
 from firwalk.cluster.zones import REGION, Mode
 
 if TYPE_CHECKING:
-    from firwalk.net.cluster import Cluster
+    from firwalk.net.cluster_state import ClusterState
 
 MAX_PAGE_DIGITS = 6
 MAX_ROLLOUT_NUMBER_DIGITS = 9
@@ -36,7 +36,7 @@
 class ClusterCommands:
     """The commands of one cluster; which there are depends on the parts that are configured."""
 
-    def __init__(self, cluster: Cluster):
+    def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
     def exact(self) -> dict[str, Command]:
@@ -175,7 +175,7 @@
         return await reply
 
 
-def status_line(cluster: Cluster) -> str:
+def status_line(cluster: ClusterState) -> str:
     """Return one line on the cluster as this node sees it."""
     if cluster.seat is None:
         return "no seat: another process speaks for this node"
--- a/firwalk/net/cluster_host.py
+++ b/firwalk/net/cluster_host.py
@@ -10,7 +10,7 @@
 from firwalk.observability.log import log_exception
 
 if TYPE_CHECKING:
-    from firwalk.net.cluster import Cluster
+    from firwalk.net.cluster_state import ClusterState
 
 TIMER_TOLERANCE_S = 0.0005  # by which the loop's timers may be early on the monotonic clock
 
@@ -20,7 +20,7 @@
 class ClusterHost:
     """The host of one generation of a cluster member: once that has ended, its timers do nothing more."""
 
-    def __init__(self, cluster: Cluster):
+    def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
     def _is_current(self) -> bool:
--- /dev/null
+++ b/firwalk/net/cluster_state.py
@@ -0,0 +1,60 @@
+"""What a cluster member on the event loop consists of: its configuration, its parts and its counts.
+
+`firwalk.net.cluster` starts, stops and reloads it; its host and the operators' commands read it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from firwalk.cluster import messages
+from firwalk.config.operations import OperationsConfig
+from firwalk.dispatcher.dispatcher import Dispatcher
+from firwalk.net.cluster_events import log_event_json, log_event_text
+
+if TYPE_CHECKING:
+    from firwalk.cluster.cluster_member import ClusterMember
+    from firwalk.cluster.plan_enforcement import PlanEnforcer
+    from firwalk.cluster.quota_accounting import QuotaAccounting
+    from firwalk.cluster.rollout_controller import RolloutController
+
+
+class ClusterState:
+    """The node's part in the cluster; `seat` is None while another process speaks for the node."""
+
+    def __init__(
+        self,
+        operations: OperationsConfig,
+        config: dict[str, Any],
+        send: Callable[[bytes, tuple[str, int]], None],
+        addresses: list[tuple[str, int]],
+        dispatcher: Dispatcher,
+    ) -> None:
+        self.operations = operations
+        self.send = send
+        self.addresses = addresses
+        self.dispatcher = dispatcher
+        self.zone: int = config["settings"].get("az", 0)
+        self.zones: list[str] = config["settings"].get("azs") or []
+        self.number: int = config["settings"].get("self-index", 0)
+        self.checksum = messages.cluster_checksum(operations.fleet.name)
+        self.seat: ClusterMember | None = None
+        self.steering: PlanEnforcer | None = None
+        self.spending: QuotaAccounting | None = None
+        self.changing: RolloutController | None = None
+        self.tag: Callable[[], str] = lambda: ""  # of the configuration in force
+        self.received = 0
+        self.sent = 0
+        self.bytes_sent = 0
+        self.strangers: Callable[[], int] = lambda: 0  # datagrams from addresses of no node
+        self.dropped: dict[str, int] = {}  # datagrams, by the reason
+        self.loop = asyncio.get_running_loop()
+
+    def event(self, what: str, **fields: object) -> None:
+        """Record an event: all of them as JSON, or those that matter to operators as sentences."""
+        if self.operations.log.events == "all":
+            log_event_json(what, self.number, self.seat.generation if self.seat else 0, fields)
+        else:
+            log_event_text(what, fields)
--- a/firwalk/net/fields.py
+++ b/firwalk/net/fields.py
@@ -7,8 +7,7 @@
 
 import re
 from collections.abc import Mapping
-
-from msgspec import Struct
+from dataclasses import dataclass
 
 SECONDS_PER_UNIT = {b"m": 1e-3, b"u": 1e-6}
 NUMBER = rb"[0-9]{1,15}(?:\.[0-9]{1,9})?"  # no signs, no exponents, nothing else that `float` would take
@@ -24,7 +23,8 @@
     """A field of a request's head is missing or cannot be read."""
 
 
-class RequestHead(Struct, frozen=True):
+@dataclass(slots=True)
+class RequestHead:
     """What the dispatcher is told of a request."""
 
     request_class: str
--- a/firwalk/net/peers.py
+++ b/firwalk/net/peers.py
@@ -30,7 +30,7 @@
     address for gossip, None without gossip. `cluster` takes the cluster's datagrams, if there is one.
     """
 
-    def __init__(self, dispatcher: Dispatcher, peers: list[Address], to_all: Address | None):
+    def __init__(self, dispatcher: Dispatcher, peers: list[Address], to_all: Address | None) -> None:
         self.dispatcher = dispatcher
         self.to_all = to_all
         self.numbers = {address: number for number, address in enumerate(peers)}
--- a/firwalk/net/restart_predecessor.py
+++ b/firwalk/net/restart_predecessor.py
@@ -143,6 +143,8 @@
         """Sends a request with copies of both descriptors, so that closing ours ends neither connection."""
         executors = self.context.service.executors
         pending = client.pending
+        if pending is None:
+            return
         request = export_request(self.context.dispatcher, pending)
         if request is None or not channel.is_open:
             return
--- a/firwalk/observability/events.py
+++ b/firwalk/observability/events.py
@@ -8,11 +8,11 @@
 
 from collections import Counter, deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from enum import StrEnum
 from time import monotonic
 
 import orjson
-from msgspec import Struct
 
 KEPT_EVENTS = 256  # the most recent ones, for the history in a violation's log line
 
@@ -82,7 +82,8 @@
     STOPPED = "stopped"
 
 
-class EventRecord(Struct, frozen=True):
+@dataclass(slots=True)
+class EventRecord:
     """One event. `request` is the request's id, empty where the event belongs to none."""
 
     at: float
--- a/firwalk/observability/monitor.py
+++ b/firwalk/observability/monitor.py
@@ -86,7 +86,7 @@
 class Monitor:
     """Records requests and counts violations."""
 
-    def __init__(self, events: EventLog, clock: Callable[[], float]):
+    def __init__(self, events: EventLog, clock: Callable[[], float]) -> None:
         self.events = events
         self.clock = clock
         self.violations: dict[Rule, int] = {}
--- a/firwalk/policy/executor.py
+++ b/firwalk/policy/executor.py
@@ -5,6 +5,7 @@
 from collections import deque
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import Any
 
 from firwalk.policy.enums import EndpointState
 
@@ -59,7 +60,7 @@
 class Executor(SpeedEstimate):
     """An executor: its state by the endpoint list, own outstanding work, and the load by others."""
 
-    def __init__(self, ref: object, kind: int, zone: Zone, cell: int, speed: float, draw: float) -> None:
+    def __init__(self, ref: Any, kind: int, zone: Zone, cell: int, speed: float, draw: float) -> None:
         super().__init__(speed)
         self.ref = ref  # the host's own object
         self.kind = kind
--- a/firwalk/policy/request.py
+++ b/firwalk/policy/request.py
@@ -4,6 +4,7 @@
 
 from dataclasses import KW_ONLY, dataclass, field
 from math import exp, log
+from typing import Any
 
 from firwalk.policy.enums import DeduplicationScope, Idempotency
 from firwalk.policy.executor import Executor, Zone
@@ -103,7 +104,7 @@
 class Request:
     """A client's request, until its one final answer and the end of its last attempt."""
 
-    ref: object  # the host's own object
+    ref: Any  # the host's own object
     request_class: RequestClass
     hint: float
     cost: float
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import dataclasses
 import io
 import re
 import socket
@@ -428,7 +429,7 @@
         "key": head.routing_key,
     }
     assert (request_id, read) == (name, told)
-    assert len(read) == len(head.__struct_fields__)
+    assert len(read) == len(dataclasses.fields(head))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,11 +1,11 @@
 """The facade without sockets: steps that are picked, outcomes that are reported, time that passes."""
 
 import asyncio
+from dataclasses import fields
 
 import orjson
 import pytest
 from helpers import LIMITS, OFFERINGS
-from msgspec.structs import astuple
 
 from firwalk.dispatcher.actions import (
     CancelAttempt,
@@ -69,8 +69,8 @@
                 step = await asyncio.wait_for(self.dispatcher.next_action(pending), 1)
                 if step is None:
                     return found + ["over"]
-                fields = astuple(step)
-                found.append((type(step), fields[0]) if fields else type(step))
+                values = tuple(getattr(step, field.name) for field in fields(step))
+                found.append((type(step), values[0]) if values else type(step))
             return found
 
         return asyncio.run(run())
