--- a/firwalk/net/cluster.py
+++ b/firwalk/net/cluster.py
@@ -7,14 +7,11 @@
 
 import os
 import time
-from collections.abc import Callable
-from typing import Any
 
 from firwalk.cluster import messages
 from firwalk.cluster.cluster_member import ClusterMember
 from firwalk.cluster.plan_enforcement import PlanEnforcer
 from firwalk.config.operations import LIVE, OperationsConfig
-from firwalk.dispatcher.dispatcher import Dispatcher
 from firwalk.net.cluster_commands import ClusterCommands, Command, CommandWithArgument
 from firwalk.net.cluster_host import ClusterHost
 from firwalk.net.cluster_parts import (
@@ -35,17 +32,6 @@
     Each start makes a new generation.
     """
 
-    def __init__(
-        self,
-        operations: OperationsConfig,
-        config: dict[str, Any],
-        send: Callable[[bytes, tuple[str, int]], None],
-        addresses: list[tuple[str, int]],
-        dispatcher: Dispatcher,
-    ) -> None:
-        super().__init__(operations, config, send, addresses, dispatcher)
-        self.commands = ClusterCommands(self)
-
     # -- start and end -------------------------------------------------------------------------------------
 
     def start(self) -> None:
@@ -180,8 +166,8 @@
 
     def calls(self) -> dict[str, Command]:
         """Return the operators' commands that are a fixed text."""
-        return self.commands.exact()
+        return ClusterCommands(self).exact()
 
     def calls_with(self) -> dict[str, CommandWithArgument]:
         """Return the operators' commands that take an argument, by the text before it."""
-        return self.commands.with_argument()
+        return ClusterCommands(self).with_argument()
