--- a/firwalk/dispatcher/request_handover.py
+++ b/firwalk/dispatcher/request_handover.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import Any, NamedTuple, cast
 
 from firwalk.dispatcher.dispatcher import RESPONSE_MARGIN_S, Dispatcher, Endpoint, PendingRequest
@@ -91,8 +90,7 @@
         return RequestClass(**self._asdict())
 
 
-@dataclass(frozen=True, slots=True)
-class HandedOverAttempt:
+class HandedOverAttempt(NamedTuple):
     """One attempt of a request, with times on the sender's clock."""
 
     executor: str
@@ -148,8 +146,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
-class HandedOverRequest:
+class HandedOverRequest(NamedTuple):
     """A request in work, with times on the sender's clock."""
 
     sender_time: float
--- a/firwalk/net/restart_messages.py
+++ b/firwalk/net/restart_messages.py
@@ -44,8 +44,7 @@
     keep_alive: bool
 
 
-@dataclass(frozen=True, slots=True)
-class Hello:
+class Hello(NamedTuple):
     """First message of a new process: it wants to take over."""
 
     version: object = PROTOCOL_VERSION
@@ -62,8 +61,7 @@
         return cls(wire["hello"], isinstance(abilities, list) and REQUEST_HANDOVER in abilities)
 
 
-@dataclass(frozen=True, slots=True)
-class Refusal:
+class Refusal(NamedTuple):
     """Answer to a hello: not now (busy), or never (with a reason)."""
 
     is_busy: bool
@@ -80,8 +78,7 @@
         return cls(bool(wire["busy"]), wire.get("why"))
 
 
-@dataclass(frozen=True, slots=True)
-class NodeState:
+class NodeState(NamedTuple):
     """Answer to a hello: what the predecessor knows. The receiver decodes each part on its own."""
 
     state: WireObject
@@ -134,7 +131,6 @@
     return state.get("out")
 
 
-@dataclass(frozen=True, slots=True)
 class TakeOver:
     """The successor asks the predecessor to stop accepting."""
 
@@ -148,7 +144,6 @@
         return cls()
 
 
-@dataclass(frozen=True, slots=True)
 class ListenerReleased:
     """The predecessor accepts no more connections."""
 
@@ -162,8 +157,7 @@
         return cls()
 
 
-@dataclass(frozen=True, slots=True)
-class ClientHandover:
+class ClientHandover(NamedTuple):
     """A client connection between two requests; its descriptor goes beside the message."""
 
     has_sent_request: bool
@@ -178,8 +172,7 @@
         return cls(bool(wire["client"]))
 
 
-@dataclass(frozen=True, slots=True)
-class IdleConnectionHandover:
+class IdleConnectionHandover(NamedTuple):
     """An idle connection to an executor; its descriptor goes beside the message."""
 
     executor: str
@@ -196,8 +189,7 @@
         return cls(wire["link"], float(wire["idle_since"]), wire["trip"])
 
 
-@dataclass(frozen=True, slots=True)
-class RequestHandover:
+class RequestHandover(NamedTuple):
     """A request in work; the descriptors of its client and its executor go beside the message."""
 
     request: HandedOverRequest
@@ -248,7 +240,6 @@
         return cls(int(wire["holds"]))
 
 
-@dataclass(frozen=True, slots=True)
 class Reload:
     """The configuration is to be read again."""
 
@@ -262,8 +253,7 @@
         return cls()
 
 
-@dataclass(frozen=True, slots=True)
-class MaintenanceCall:
+class MaintenanceCall(NamedTuple):
     """An operator detaches or attaches an executor."""
 
     executor: str
@@ -281,8 +271,7 @@
         return cls(wire["out"], bool(wire["on"]), bool(wire["sure"]), wire["number"])
 
 
-@dataclass(frozen=True, slots=True)
-class MaintenanceReply:
+class MaintenanceReply(NamedTuple):
     """The answer to a MaintenanceCall: whether the executor is known there."""
 
     number: object
