--- a/firwalk/dispatcher/actions.py
+++ b/firwalk/dispatcher/actions.py
@@ -1,103 +1,142 @@
 """What the dispatcher asks its caller to do: actions for one request, and background actions.
 
-The network side matches on the type of each action. No action is ever sent over the wire.
+The network side matches on the type of each action. No action is ever sent over the wire. They are plain
+classes, since generated ones would make every start slower.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from firwalk.dispatcher.endpoint import Endpoint
 
 
-@dataclass(slots=True)
-class SendAttempt:
+class _Action:
+    """Actions of the same type with equal fields are equal."""
+
+    __slots__: tuple[str, ...] = ()
+    __hash__ = None  # type: ignore[assignment]  # their fields can change
+
+    def _values(self) -> tuple[object, ...]:
+        return tuple(getattr(self, name) for name in self.__slots__)
+
+    def __eq__(self, other: object) -> bool:
+        if not isinstance(other, _Action) or type(other) is not type(self):
+            return NotImplemented
+        return self._values() == other._values()
+
+    def __repr__(self) -> str:
+        fields = ", ".join(f"{name}={getattr(self, name)!r}" for name in self.__slots__)
+        return f"{type(self).__name__}({fields})"
+
+
+class SendAttempt(_Action):
     """Send one attempt of the request to an executor.
 
     `deadline` is when the attempt must have ended, in seconds on the dispatcher's clock.
     `is_non_idempotent` tells that the request must never run twice.
     """
 
-    number: int
-    endpoint: Endpoint
-    deadline: float
-    is_non_idempotent: bool
+    __slots__ = ("number", "endpoint", "deadline", "is_non_idempotent")
+
+    def __init__(self, number: int, endpoint: Endpoint, deadline: float, is_non_idempotent: bool) -> None:
+        self.number = number
+        self.endpoint = endpoint
+        self.deadline = deadline
+        self.is_non_idempotent = is_non_idempotent
 
 
-@dataclass(slots=True)
-class CancelAttempt:
+class CancelAttempt(_Action):
     """Cancel an attempt that is in flight."""
 
-    number: int
+    __slots__ = ("number",)
 
+    def __init__(self, number: int) -> None:
+        self.number = number
 
-@dataclass(slots=True)
-class CompleteRequest:
+
+class CompleteRequest(_Action):
     """Answer the client with the result."""
 
-    result: bytes
+    __slots__ = ("result",)
+
+    def __init__(self, result: bytes) -> None:
+        self.result = result
 
 
-@dataclass(slots=True)
-class RejectRequest:
+class RejectRequest(_Action):
     """Answer that a retry is harmless; a `retry_after_s` of 0 gives no advice on when."""
 
-    retry_after_s: float
+    __slots__ = ("retry_after_s",)
 
+    def __init__(self, retry_after_s: float) -> None:
+        self.retry_after_s = retry_after_s
 
-@dataclass(slots=True)
-class FailRequest:
+
+class FailRequest(_Action):
     """Answer that the outcome is unknown."""
 
+    __slots__ = ()
+
 
-@dataclass(slots=True)
-class RejectInvalidRequest:
+class RejectInvalidRequest(_Action):
     """Answer that the request itself is invalid, as an executor found."""
 
+    __slots__ = ()
+
 
 FinalAnswer = CompleteRequest | RejectRequest | FailRequest | RejectInvalidRequest
 Action = SendAttempt | CancelAttempt | FinalAnswer
 
 
-@dataclass(slots=True)
-class CheckHealth:
+class CheckHealth(_Action):
     """Ask an executor for its load report; the answer is awaited for `timeout_s`."""
 
-    endpoint: Endpoint
-    timeout_s: float
+    __slots__ = ("endpoint", "timeout_s")
 
+    def __init__(self, endpoint: Endpoint, timeout_s: float) -> None:
+        self.endpoint = endpoint
+        self.timeout_s = timeout_s
 
-@dataclass(slots=True)
-class CloseIdleConnections:
+
+class CloseIdleConnections(_Action):
     """Close the connections to an executor that carry no request."""
 
-    endpoint: Endpoint
+    __slots__ = ("endpoint",)
+
+    def __init__(self, endpoint: Endpoint) -> None:
+        self.endpoint = endpoint
 
 
-@dataclass(slots=True)
-class WatchEndpoints:
+class WatchEndpoints(_Action):
     """Open the watch of the endpoint list, or close it."""
 
-    is_on: bool
+    __slots__ = ("is_on",)
 
+    def __init__(self, is_on: bool) -> None:
+        self.is_on = is_on
 
-@dataclass(slots=True)
-class FetchEndpoints:
+
+class FetchEndpoints(_Action):
     """Fetch the whole endpoint list once."""
 
+    __slots__ = ()
+
 
-@dataclass(slots=True)
-class GossipFailure:
+class GossipFailure(_Action):
     """Send the content to all peers: an executor erred."""
 
-    content: bytes
+    __slots__ = ("content",)
 
+    def __init__(self, content: bytes) -> None:
+        self.content = content
 
-@dataclass(slots=True)
-class WriteLogLine:
+
+class WriteLogLine(_Action):
     """Write a line for the operators."""
 
-    text: str
+    __slots__ = ("text",)
+
+    def __init__(self, text: str) -> None:
+        self.text = text
 
 
 BackgroundAction = (
--- a/firwalk/observability/events.py
+++ b/firwalk/observability/events.py
@@ -8,7 +8,6 @@
 
 from collections import Counter, deque
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import StrEnum
 from time import monotonic
 
@@ -82,15 +81,19 @@
     STOPPED = "stopped"
 
 
-@dataclass(slots=True)
 class EventRecord:
     """One event. `request` is the request's id, empty where the event belongs to none."""
 
-    at: float
-    event: Event
-    reason: str
-    request: str
-    details: dict[str, object]
+    __slots__ = ("at", "event", "reason", "request", "details")
+
+    def __init__(
+        self, at: float, event: Event, reason: str, request: str, details: dict[str, object]
+    ) -> None:
+        self.at = at
+        self.event = event
+        self.reason = reason
+        self.request = request
+        self.details = details
 
 
 class EventLog:
--- a/firwalk/observability/monitor.py
+++ b/firwalk/observability/monitor.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
@@ -50,33 +49,61 @@
     NOT_WHILE_STOPPED = "a process that was told to stop does not begin to listen"
 
 
-@dataclass(slots=True)
 class AttemptRecord:
     """One attempt; `committed` once its last byte may have been written."""
 
-    executor: str
-    zone: object
-    cell: int
-    sent_at: float
-    committed: bool = False
-    never_ran: bool = False
+    __slots__ = ("executor", "zone", "cell", "sent_at", "committed", "never_ran")
+
+    def __init__(
+        self,
+        executor: str,
+        zone: object,
+        cell: int,
+        sent_at: float,
+        committed: bool = False,
+        never_ran: bool = False,
+    ) -> None:
+        self.executor = executor
+        self.zone = zone
+        self.cell = cell
+        self.sent_at = sent_at
+        self.committed = committed
+        self.never_ran = never_ran
 
 
-@dataclass(slots=True)
 class RequestRecord:
     """One request, from its arrival to the end of its last attempt.
 
     `remembered_s` is for how long executors recognize a repeated idempotency key.
     """
 
-    request_id: str
-    idempotency: Idempotency
-    deduplication_scope: DeduplicationScope
-    remembered_s: float
-    deadline: float
-    attempts: dict[int, AttemptRecord] = field(default_factory=dict)
-    status: int = 0
-    released: bool = False
+    __slots__ = (
+        "request_id",
+        "idempotency",
+        "deduplication_scope",
+        "remembered_s",
+        "deadline",
+        "attempts",
+        "status",
+        "released",
+    )
+
+    def __init__(
+        self,
+        request_id: str,
+        idempotency: Idempotency,
+        deduplication_scope: DeduplicationScope,
+        remembered_s: float,
+        deadline: float,
+    ) -> None:
+        self.request_id = request_id
+        self.idempotency = idempotency
+        self.deduplication_scope = deduplication_scope
+        self.remembered_s = remembered_s
+        self.deadline = deadline
+        self.attempts: dict[int, AttemptRecord] = {}
+        self.status = 0
+        self.released = False
 
     def over(self) -> bool:
         """Whether its client is owed no answer any more."""
--- a/firwalk/policy/admission.py
+++ b/firwalk/policy/admission.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from firwalk.policy.enums import DeduplicationScope, Idempotency
 from firwalk.policy.executor_set import ExecutorSet
 from firwalk.policy.interface import Host
@@ -16,16 +14,24 @@
 MAX_TRAFFIC_SHARE = 3.0  # times its mean share of all traffic that a node may have without reports showing it
 
 
-@dataclass(eq=False)
 class Admission:
     """Weighs arriving requests by their tenant's quota; rejects or fails what cannot be executed."""
 
-    host: Host
-    config: PolicyConfig
-    limits: PolicyLimits
-    executor_set: ExecutorSet
-    selection: Selection
-    retries: RetryLimits
+    def __init__(
+        self,
+        host: Host,
+        config: PolicyConfig,
+        limits: PolicyLimits,
+        executor_set: ExecutorSet,
+        selection: Selection,
+        retries: RetryLimits,
+    ) -> None:
+        self.host = host
+        self.config = config
+        self.limits = limits
+        self.executor_set = executor_set
+        self.selection = selection
+        self.retries = retries
 
     def is_over_quota(self, now: float, tenant: int, own_share: float) -> bool:
         """Count a request of a tenant; `own_share` is this node's part of all work."""
--- a/firwalk/policy/executor.py
+++ b/firwalk/policy/executor.py
@@ -4,7 +4,6 @@
 
 from collections import deque
 from collections.abc import Mapping
-from dataclasses import dataclass, field
 from typing import Any
 
 from firwalk.policy.enums import EndpointState
@@ -21,15 +20,15 @@
 LoadReport = Mapping[str, float]
 
 
-@dataclass(eq=False)
 class Zone:
     """A zone: its lag, the mean load of a slot by others, and its executors that cannot be reached."""
 
-    lag: float = 0.0  # seconds
-    lag_at: float = 0.0
-    mean: float = 0.0  # load by others for each slot
-    missed: list[Executor] = field(default_factory=list)  # connections failed since one last succeeded
-    away_until: float = 0.0
+    def __init__(self) -> None:
+        self.lag = 0.0  # seconds
+        self.lag_at = 0.0
+        self.mean = 0.0  # load by others for each slot
+        self.missed: list[Executor] = []  # connections failed since one last succeeded
+        self.away_until = 0.0
 
     def lag_now(self, now: float) -> float:
         """Lag in seconds, fading to nothing without news."""
--- a/firwalk/policy/load_reports.py
+++ b/firwalk/policy/load_reports.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from firwalk.policy.executor import Executor, LoadReport
 from firwalk.policy.executor_set import ExecutorSet
 from firwalk.policy.interface import Host
@@ -18,12 +16,12 @@
 FAR_POLLS = 1
 
 
-@dataclass(slots=True)
 class ZoneLoad:
     """Sums over the warm executors of a zone."""
 
-    others: float = 0.0
-    slots: float = 0.0
+    def __init__(self) -> None:
+        self.others = 0.0
+        self.slots = 0.0
 
 
 class LoadReports:
--- a/firwalk/policy/outlier_ejection.py
+++ b/firwalk/policy/outlier_ejection.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from firwalk.policy.enums import Outcome
 from firwalk.policy.executor import Executor
 from firwalk.policy.executor_set import ExecutorSet
@@ -25,14 +23,16 @@
 ANSWERED = (Outcome.COMPLETED, Outcome.ERROR, Outcome.AT_CAPACITY, Outcome.INVALID)
 
 
-@dataclass(eq=False)
 class OutlierEjection:
     """Health of the executors, by the outcomes of attempts and polls."""
 
-    host: Host
-    config: PolicyConfig
-    executor_set: ExecutorSet
-    random: RandomSource
+    def __init__(
+        self, host: Host, config: PolicyConfig, executor_set: ExecutorSet, random: RandomSource
+    ) -> None:
+        self.host = host
+        self.config = config
+        self.executor_set = executor_set
+        self.random = random
 
     def record_outcome(self, now: float, attempt: Attempt, outcome: Outcome) -> None:
         """Learn the health of an executor, and of its zone, from the outcome of an attempt."""
--- a/firwalk/policy/request.py
+++ b/firwalk/policy/request.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import KW_ONLY, dataclass, field
 from math import exp, log
 from typing import Any
 
@@ -15,28 +14,38 @@
 MIN_QUOTA_BURST = 5.0  # requests
 
 
-@dataclass(eq=False)
 class RequestClass:
     """Settings of a kind of request, and what its cost hints have proved to be worth. Times are seconds."""
 
-    latency_objective: float
-    deadline: float
-    _: KW_ONLY
-    priority_weight: float = 1.0
-    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
-    deduplication_scope: DeduplicationScope = DeduplicationScope.CELL
-    key_ttl: float = 0.0
-    objective_stretch: float = 0.0  # of the latency objective, for each unit of cost
-    work_kind: int = -1
-    most: float = field(default=0.0, init=False)  # longest time budget that arrived
-    met: int = field(default=0, init=False)  # hints that arrived
-    log_mean: float = field(default=0.0, init=False)  # of those
-    log_spread: float = field(default=0.0, init=False)  # their variance
-    finished: int = field(default=0, init=False)  # completed requests
-    log_hint: float = field(default=0.0, init=False)  # mean over the completed ones
-    log_work: float = field(default=0.0, init=False)  # mean over the completed ones
-    hint_spread: float = field(default=INITIAL_HINT_TRUST, init=False)
-    together: float = field(default=INITIAL_HINT_TRUST, init=False)  # covariance sum of hint and work
+    def __init__(
+        self,
+        latency_objective: float,
+        deadline: float,
+        *,
+        priority_weight: float = 1.0,
+        idempotency: Idempotency = Idempotency.NON_IDEMPOTENT,
+        deduplication_scope: DeduplicationScope = DeduplicationScope.CELL,
+        key_ttl: float = 0.0,
+        objective_stretch: float = 0.0,
+        work_kind: int = -1,
+    ) -> None:
+        self.latency_objective = latency_objective
+        self.deadline = deadline
+        self.priority_weight = priority_weight
+        self.idempotency = idempotency
+        self.deduplication_scope = deduplication_scope
+        self.key_ttl = key_ttl
+        self.objective_stretch = objective_stretch  # of the latency objective, for each unit of cost
+        self.work_kind = work_kind
+        self.most = 0.0  # longest time budget that arrived
+        self.met = 0  # hints that arrived
+        self.log_mean = 0.0  # of those
+        self.log_spread = 0.0  # their variance
+        self.finished = 0  # completed requests
+        self.log_hint = 0.0  # mean over the completed ones
+        self.log_work = 0.0  # mean over the completed ones
+        self.hint_spread = INITIAL_HINT_TRUST
+        self.together = INITIAL_HINT_TRUST  # covariance sum of hint and work
 
     def cost(self, hint: float) -> float:
         """Expected cost: the hint, shrunk towards the class mean as far as hints have proved unreliable."""
@@ -63,13 +72,13 @@
         self.together += deviation * (log_work - self.log_work)
 
 
-@dataclass(eq=False)
 class Tenant:
     """A tenant and its quota, in requests a second over all nodes, as a token bucket."""
 
-    quota: float
-    tokens: float = MIN_QUOTA_BURST
-    at: float = 0.0
+    def __init__(self, quota: float) -> None:
+        self.quota = quota
+        self.tokens = MIN_QUOTA_BURST
+        self.at = 0.0
 
     def within(self, now: float, part: float) -> bool:
         """Take a token; return whether there was one, where this node may use `part` of the quota."""
@@ -81,47 +90,51 @@
         return has_token
 
 
-@dataclass(eq=False)
 class Attempt:
     """One sending of a request to one executor."""
 
-    request: Request
-    executor: Executor
-    sent_at: float
-    estimate: float  # seconds of work that it adds to the executor's sum
-    wait: float  # expected seconds in the executor's queue
-    number: int = field(init=False)
-    started_at: float = 0.0
-    is_in_flight: bool = True
-    may_have_run: bool = True
+    def __init__(
+        self, request: Request, executor: Executor, sent_at: float, estimate: float, wait: float
+    ) -> None:
+        self.request = request
+        self.executor = executor
+        self.sent_at = sent_at
+        self.estimate = estimate  # seconds of work that it adds to the executor's sum
+        self.wait = wait  # expected seconds in the executor's queue
+        self.number = len(request.attempts)  # among those of its request
+        self.started_at = 0.0
+        self.is_in_flight = True
+        self.may_have_run = True
 
-    def __post_init__(self) -> None:
-        """Number it among the attempts of its request."""
-        self.number = len(self.request.attempts)
 
-
-@dataclass(eq=False)
 class Request:
     """A client's request, until its one final answer and the end of its last attempt."""
 
-    ref: Any  # the host's own object
-    request_class: RequestClass
-    hint: float
-    cost: float
-    slots: float
-    draw: float  # decides which executors in slow start it may go to
-    objective_at: float
-    deadline: float
-    work: float = field(init=False)  # cost times slots
-    attempts: list[Attempt] = field(default_factory=list)
-    sticky_executors: tuple[Executor, ...] = ()
-    in_flight: int = 0
-    is_open: bool = True
-    bound: bool = False  # no further attempt: its answer has begun
-    value: float = 0.0
-    max_attempts: int = 1
-    preferred_zone: Zone | None = None
-
-    def __post_init__(self) -> None:
-        """Compute the work."""
-        self.work = self.cost * self.slots
+    def __init__(
+        self,
+        ref: Any,
+        request_class: RequestClass,
+        hint: float,
+        cost: float,
+        slots: float,
+        draw: float,
+        objective_at: float,
+        deadline: float,
+    ) -> None:
+        self.ref = ref  # the host's own object
+        self.request_class = request_class
+        self.hint = hint
+        self.cost = cost
+        self.slots = slots
+        self.draw = draw  # decides which executors in slow start it may go to
+        self.objective_at = objective_at
+        self.deadline = deadline
+        self.work = cost * slots
+        self.attempts: list[Attempt] = []
+        self.sticky_executors: tuple[Executor, ...] = ()
+        self.in_flight = 0
+        self.is_open = True
+        self.bound = False  # no further attempt: its answer has begun
+        self.value = 0.0
+        self.max_attempts = 1
+        self.preferred_zone: Zone | None = None
--- a/firwalk/policy/retries.py
+++ b/firwalk/policy/retries.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from firwalk.policy.enums import DeduplicationScope, Idempotency
 from firwalk.policy.executor import Executor
 from firwalk.policy.policy_config import PolicyConfig, PolicyLimits
@@ -13,13 +11,13 @@
 MAX_SAVED_MOVES = 3.0
 
 
-@dataclass(eq=False)
 class RetryLimits:
     """Which executor a request may be sent to again, and the budget for attempts that are not answers."""
 
-    config: PolicyConfig
-    limits: PolicyLimits
-    moves: float = MAX_SAVED_MOVES  # budget of hedged and moved attempts
+    def __init__(self, config: PolicyConfig, limits: PolicyLimits) -> None:
+        self.config = config
+        self.limits = limits
+        self.moves = MAX_SAVED_MOVES  # budget of hedged and moved attempts
 
     def earn_move(self) -> None:
         """Add what a new request allows."""
--- a/firwalk/policy/selection.py
+++ b/firwalk/policy/selection.py
@@ -15,7 +15,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from firwalk.policy.enums import Idempotency
@@ -45,17 +44,24 @@
     slack_part: float  # of its slack that it may wait
 
 
-@dataclass(eq=False)
 class Selection:
     """Compares executors for a request, and learns their speeds from completed attempts."""
 
-    config: PolicyConfig
-    limits: PolicyLimits
-    executor_set: ExecutorSet
-    slow_start: SlowStart
-    retries: RetryLimits
-    mean_cost: float = 0.0  # of requests: their work
-    mean_value: float = 0.0
+    def __init__(
+        self,
+        config: PolicyConfig,
+        limits: PolicyLimits,
+        executor_set: ExecutorSet,
+        slow_start: SlowStart,
+        retries: RetryLimits,
+    ) -> None:
+        self.config = config
+        self.limits = limits
+        self.executor_set = executor_set
+        self.slow_start = slow_start
+        self.retries = retries
+        self.mean_cost = 0.0  # of requests: their work
+        self.mean_value = 0.0
 
     def record_arrival(self, work: float, value: float) -> None:
         """Update the means with a new request."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import heapq
+import inspect
 import os
 import random
 import signal
@@ -9,7 +10,6 @@
 import sys
 import tempfile
 import time
-from dataclasses import fields
 from pathlib import Path
 
 import orjson
@@ -58,7 +58,9 @@
             may_gossip=False,
         )
         known.update(settings)
-        limits = PolicyLimits(**{name.name: known.pop(name.name) for name in fields(PolicyLimits)})
+        limits = PolicyLimits(
+            **{name: known.pop(name) for name in inspect.signature(PolicyLimits).parameters}
+        )
         self.node = Policy(self, 7, at, PolicyConfig(**known), limits)
         self.executors = {}
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,7 +1,6 @@
 """The facade without sockets: steps that are picked, outcomes that are reported, time that passes."""
 
 import asyncio
-from dataclasses import fields
 
 import orjson
 import pytest
@@ -69,7 +68,7 @@
                 step = await asyncio.wait_for(self.dispatcher.next_action(pending), 1)
                 if step is None:
                     return found + ["over"]
-                values = tuple(getattr(step, field.name) for field in fields(step))
+                values = tuple(getattr(step, name) for name in step.__slots__)
                 found.append((type(step), values[0]) if values else type(step))
             return found
 
