--- a/firwalk/dispatcher/request_handover.py
+++ b/firwalk/dispatcher/request_handover.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, NamedTuple, cast
+from typing import Any, cast
 
 from firwalk.dispatcher.dispatcher import RESPONSE_MARGIN_S, Dispatcher, Endpoint, PendingRequest
 from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency
@@ -22,21 +22,37 @@
     """A request from the other process cannot be decoded."""
 
 
-class RequestFields(NamedTuple):
-    """What the decisions know of a request, in wire order."""
-
-    hint: float
-    cost: float
-    slots: float
-    draw: float
-    value: float
-    max_attempts: int
-    bound: bool
+class RequestFields:
+    """What the decisions know of a request."""
+
+    __slots__ = ("hint", "cost", "slots", "draw", "value", "max_attempts", "bound")  # in wire order
+
+    def __init__(
+        self,
+        hint: float,
+        cost: float,
+        slots: float,
+        draw: float,
+        value: float,
+        max_attempts: int,
+        bound: bool,
+    ) -> None:
+        self.hint = hint
+        self.cost = cost
+        self.slots = slots
+        self.draw = draw
+        self.value = value
+        self.max_attempts = max_attempts
+        self.bound = bound
 
     @classmethod
     def of(cls, request: Request) -> RequestFields:
         """The fields of a request."""
-        return cls(*[getattr(request, field) for field in cls._fields])
+        return cls(*[getattr(request, field) for field in cls.__slots__])
+
+    def to_wire(self) -> list[Any]:
+        """The values in wire order."""
+        return [getattr(self, field) for field in self.__slots__]
 
     @classmethod
     def from_wire(cls, values: list[Any]) -> RequestFields:
@@ -53,22 +69,48 @@
         )
 
 
-class RequestClassFields(NamedTuple):
-    """The terms of a request class, in wire order. Times are in seconds."""
-
-    latency_objective: float
-    deadline: float
-    priority_weight: float
-    idempotency: Idempotency
-    deduplication_scope: DeduplicationScope
-    key_ttl: float
-    objective_stretch: float
-    work_kind: int
+class RequestClassFields:
+    """The settings of a request class. Times are in seconds."""
+
+    __slots__ = (
+        "latency_objective",
+        "deadline",
+        "priority_weight",
+        "idempotency",
+        "deduplication_scope",
+        "key_ttl",
+        "objective_stretch",
+        "work_kind",
+    )  # in wire order
+
+    def __init__(
+        self,
+        latency_objective: float,
+        deadline: float,
+        priority_weight: float,
+        idempotency: Idempotency,
+        deduplication_scope: DeduplicationScope,
+        key_ttl: float,
+        objective_stretch: float,
+        work_kind: int,
+    ) -> None:
+        self.latency_objective = latency_objective
+        self.deadline = deadline
+        self.priority_weight = priority_weight
+        self.idempotency = idempotency
+        self.deduplication_scope = deduplication_scope
+        self.key_ttl = key_ttl
+        self.objective_stretch = objective_stretch
+        self.work_kind = work_kind
 
     @classmethod
     def of(cls, request_class: RequestClass) -> RequestClassFields:
-        """The terms of a request class."""
-        return cls(*[getattr(request_class, field) for field in cls._fields])
+        """The settings of a request class."""
+        return cls(*[getattr(request_class, field) for field in cls.__slots__])
+
+    def to_wire(self) -> list[Any]:
+        """The values in wire order."""
+        return [getattr(self, field) for field in self.__slots__]
 
     @classmethod
     def from_wire(cls, values: list[Any]) -> RequestClassFields:
@@ -86,21 +128,42 @@
         )
 
     def to_request_class(self) -> RequestClass:
-        """A request class with these terms."""
-        return RequestClass(**self._asdict())
+        """A request class with these settings."""
+        return RequestClass(
+            self.latency_objective,
+            self.deadline,
+            priority_weight=self.priority_weight,
+            idempotency=self.idempotency,
+            deduplication_scope=self.deduplication_scope,
+            key_ttl=self.key_ttl,
+            objective_stretch=self.objective_stretch,
+            work_kind=self.work_kind,
+        )
 
 
-class HandedOverAttempt(NamedTuple):
+class HandedOverAttempt:
     """One attempt of a request, with times on the sender's clock."""
 
-    executor: str
-    address: tuple[str, int]
-    sent_at: float
-    estimate: float
-    wait: float
-    started_at: float  # 0 until the executor reports a start
-    may_have_run: bool
-    is_committed: bool
+    def __init__(
+        self,
+        *,
+        executor: str,
+        address: tuple[str, int],
+        sent_at: float,
+        estimate: float,
+        wait: float,
+        started_at: float,
+        may_have_run: bool,
+        is_committed: bool,
+    ) -> None:
+        self.executor = executor
+        self.address = address
+        self.sent_at = sent_at
+        self.estimate = estimate
+        self.wait = wait
+        self.started_at = started_at  # 0 until the executor reports a start
+        self.may_have_run = may_have_run
+        self.is_committed = is_committed
 
     @classmethod
     def of(cls, pending: PendingRequest, attempt: Attempt) -> HandedOverAttempt:
@@ -146,17 +209,29 @@
         )
 
 
-class HandedOverRequest(NamedTuple):
-    """A request in work, with times on the sender's clock."""
-
-    sender_time: float
-    attempt_in_flight: int
-    objective_at: float
-    deadline: float
-    fields: RequestFields
-    class_name: str | None
-    class_fields: RequestClassFields
-    attempts: tuple[HandedOverAttempt, ...]
+class HandedOverRequest:
+    """A request in progress, with times on the sender's clock."""
+
+    def __init__(
+        self,
+        *,
+        sender_time: float,
+        attempt_in_flight: int,
+        objective_at: float,
+        deadline: float,
+        fields: RequestFields,
+        class_name: str | None,
+        class_fields: RequestClassFields,
+        attempts: tuple[HandedOverAttempt, ...],
+    ) -> None:
+        self.sender_time = sender_time
+        self.attempt_in_flight = attempt_in_flight
+        self.objective_at = objective_at
+        self.deadline = deadline
+        self.fields = fields
+        self.class_name = class_name
+        self.class_fields = class_fields
+        self.attempts = attempts
 
     def to_wire(self) -> WireObject:
         """The request as a JSON object."""
@@ -165,9 +240,9 @@
             "out": self.attempt_in_flight,
             "due": self.objective_at,
             "expiry": self.deadline,
-            "task": list(self.fields),
+            "task": self.fields.to_wire(),
             "offering": self.class_name,
-            "terms": list(self.class_fields),
+            "terms": self.class_fields.to_wire(),
             "assignments": [attempt.to_wire() for attempt in self.attempts],
         }
 
@@ -286,13 +361,13 @@
 
 
 def _request_class(dispatcher: Dispatcher, handed_over: HandedOverRequest) -> RequestClass:
-    """This process's class of that name if its terms are the same; else one with the terms handed over."""
+    """This process's class of that name if its settings are the same; else one with those handed over."""
     number = (
         None if handed_over.class_name is None else dispatcher.request_classes.get(handed_over.class_name)
     )
     if number is not None:
         own_class = dispatcher.policy.request_classes[number]
-        if RequestClassFields.of(own_class) == handed_over.class_fields:
+        if RequestClassFields.of(own_class).to_wire() == handed_over.class_fields.to_wire():
             return own_class
     return handed_over.class_fields.to_request_class()
 
--- a/firwalk/policy/selection.py
+++ b/firwalk/policy/selection.py
@@ -15,8 +15,6 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
 from firwalk.policy.enums import Idempotency
 from firwalk.policy.executor import GOSSIP_TTL_S, Executor, Zone
 from firwalk.policy.executor_set import ExecutorSet
@@ -33,15 +31,26 @@
 MIN_VALUE = 1e-9
 
 
-class ReachCosts(NamedTuple):
+class ReachCosts:
     """What reaching an executor costs a request, in seconds of load, and what it may wait."""
 
-    own_zone: Zone
-    stays_near: bool  # only executors of the own zone are compared
-    crossing: float
-    connection: float
-    not_sticky: float
-    slack_part: float  # of its slack that it may wait
+    __slots__ = ("own_zone", "stays_near", "crossing", "connection", "not_sticky", "slack_part")
+
+    def __init__(
+        self,
+        own_zone: Zone,
+        stays_near: bool,
+        crossing: float,
+        connection: float,
+        not_sticky: float,
+        slack_part: float,
+    ) -> None:
+        self.own_zone = own_zone
+        self.stays_near = stays_near  # only executors of the own zone are compared
+        self.crossing = crossing
+        self.connection = connection
+        self.not_sticky = not_sticky
+        self.slack_part = slack_part  # of its slack that it may wait
 
 
 class Selection:
@@ -129,7 +138,12 @@
         """The executor with the least load among those in time, or None."""
         time_left = request.objective_at - now
         costs = self._reach_costs(request, time_left)
-        own_zone, stays_near, crossing, connection, not_sticky, slack_part = costs
+        own_zone = costs.own_zone
+        stays_near = costs.stays_near
+        crossing = costs.crossing
+        connection = costs.connection
+        not_sticky = costs.not_sticky
+        slack_part = costs.slack_part
         is_unrepeatable = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         sticky = request.sticky_executors
         reports_starts = self.config.reports_starts
