--- a/firwalk/config/policy_settings.py
+++ b/firwalk/config/policy_settings.py
@@ -24,8 +24,8 @@
 }
 # What a request class has learned from its requests, kept over a reload.
 LEARNED_ATTRIBUTES = (
-    "most",
-    "met",
+    "max_budget",
+    "hint_count",
     "log_mean",
     "log_spread",
     "finished",
@@ -59,7 +59,7 @@
     for attribute in LEARNED_ATTRIBUTES:
         setattr(after, attribute, getattr(before, attribute))
     if before.deadline != after.deadline:
-        after.most = 0.0  # the largest budget seen follows the deadline
+        after.max_budget = 0.0  # the largest budget seen follows the deadline
 
 
 def _policy_config(settings: JsonObject) -> PolicyConfig:
--- a/firwalk/dispatcher/dispatcher.py
+++ b/firwalk/dispatcher/dispatcher.py
@@ -98,7 +98,7 @@
         cost: float,
         slots: float,
         memory: float,
-        again: bool,
+        is_retry: bool,
         marked: bool = True,
         waited: float = 0.0,
         key: bytes = b"",
@@ -107,7 +107,7 @@
         """Takes a request that arrived `waited` seconds ago.
 
         `budget` is the client's deadline in seconds from its arrival, at most that of the request class;
-        `again` tells a client's retry, `marked` the presence of an idempotency key. None where there is no
+        `is_retry` tells a client's retry, `marked` the presence of an idempotency key. None where there is no
         such class, or the class needs a key and there is none.
         """
         number = self.request_classes.get(request_class)
@@ -125,9 +125,9 @@
         budget = max(min(budget, self.shutdown_deadline - now) - RESPONSE_MARGIN_S, 0.0)
         tenant_number = self.tenants.get(tenant, UNKNOWN_TENANT)
         pending.request = self.policy.request_arrived(
-            now, pending, number, tenant_number, budget, cost, slots, memory, again, key
+            now, pending, number, tenant_number, budget, cost, slots, memory, is_retry, key
         )
-        self._record_arrival(pending, request_id, again)
+        self._record_arrival(pending, request_id, is_retry)
         self._settle(now)
         return pending
 
@@ -245,7 +245,7 @@
         self,
         pending: PendingRequest,
         number: int,
-        how: Outcome,
+        outcome: Outcome,
         load: object = None,
         result: bytes = b"",
     ) -> None:
@@ -255,14 +255,14 @@
         if not attempt.is_in_flight:
             return
         now = self.clock()
-        ends_request = is_terminal(how) and request.is_open
-        self._end_attempt(now, attempt, how, load)
-        if ends_request and how is Outcome.COMPLETED:
+        ends_request = is_terminal(outcome) and request.is_open
+        self._end_attempt(now, attempt, outcome, load)
+        if ends_request and outcome is Outcome.COMPLETED:
             pending.add(CompleteRequest(result))
             if self.rollout_counters is not None:
                 is_late = now > request.objective_at
-                took = now - pending.arrived_at
-                self.rollout_counters.finished(pending.labels[0], len(request.attempts), took, is_late)
+                duration_s = now - pending.arrived_at
+                self.rollout_counters.finished(pending.labels[0], len(request.attempts), duration_s, is_late)
         elif ends_request:  # every executor would find it invalid, and each would be blamed in turn
             pending.add(RejectInvalidRequest())
         self._settle(now)
@@ -273,15 +273,15 @@
         """How many open connections to the executor carry no request."""
         self.policy.idle_connections_counted(self.executors[place.name], count)
 
-    def report_probe(self, place: Endpoint, how: Outcome, took: float, load: object) -> None:
+    def report_probe(self, place: Endpoint, outcome: Outcome, duration_s: float, load: object) -> None:
         """How a health check ended, after how many seconds, and the executor's load report."""
         now = self.clock()
         executor = self.executors[place.name]
         if self.health_observer is not None:
-            is_unreached = how not in (Outcome.COMPLETED, Outcome.AT_CAPACITY)
+            is_unreached = outcome not in (Outcome.COMPLETED, Outcome.AT_CAPACITY)
             zone = zone_view.zone_number(self.policy, executor)
-            self.health_observer.ended(zone, is_unreached, False, now, now - took)
-        self.policy.health_check_ended(now, executor, how, took, parse_load_report(load))
+            self.health_observer.ended(zone, is_unreached, False, now, now - duration_s)
+        self.policy.health_check_ended(now, executor, outcome, duration_s, parse_load_report(load))
         self._settle(now)
 
     def report_peer(self, number: int, content: bytes) -> None:
--- a/firwalk/dispatcher/endpoint_list.py
+++ b/firwalk/dispatcher/endpoint_list.py
@@ -137,5 +137,5 @@
     def _remove_unnamed(self, now: float, named: set[str]) -> None:
         for name, executor in self.executors.items():
             if name not in named and executor.condition is not EndpointState.REMOVED:
-                self._update_policy(now, executor, EndpointState.REMOVED, executor.came_up)
+                self._update_policy(now, executor, EndpointState.REMOVED, executor.started_at)
                 self.close_idle_connections(executor)
--- a/firwalk/dispatcher/policy_host.py
+++ b/firwalk/dispatcher/policy_host.py
@@ -121,8 +121,8 @@
         if self.rollout_counters is not None and outcome is Outcome.ERROR:
             self.rollout_counters.erred(pending.labels[0])
         if outcome is Outcome.COMPLETED and pending.charge is not None and not pending.measured_work:
-            took = now - (attempt.started_at or attempt.sent_at)
-            pending.measured_work = took * attempt.executor.speed * request.slots
+            duration_s = now - (attempt.started_at or attempt.sent_at)
+            pending.measured_work = duration_s * attempt.executor.speed * request.slots
         if pending.record is not None:
             self.monitor.attempt_ended(pending.record, attempt.number, outcome)
         figures = parse_load_report(load_report)
--- a/firwalk/dispatcher/zone_view.py
+++ b/firwalk/dispatcher/zone_view.py
@@ -19,9 +19,9 @@
     """Sends nothing to these zones until a later call leaves them out."""
     for number, zone in policy.zones.items():
         if number in excluded:
-            zone.away_until = UNTIL_REVOKED
-        elif zone.away_until == UNTIL_REVOKED:
-            zone.away_until = 0.0
+            zone.unavailable_until = UNTIL_REVOKED
+        elif zone.unavailable_until == UNTIL_REVOKED:
+            zone.unavailable_until = 0.0
 
 
 def zone_capacities(policy: Policy, zone_count: int) -> list[float]:
--- a/firwalk/policy/candidates.py
+++ b/firwalk/policy/candidates.py
@@ -38,7 +38,7 @@
 
     def add(self, executor: Executor) -> None:
         """Add an executor that is not ready yet."""
-        insort(self.ring, (executor.mark, len(self.ring), executor))
+        insort(self.ring, (executor.name_hash, len(self.ring), executor))
 
     def record_change(self, executor: Executor, was_ready: bool) -> None:
         """Remember a change of state until the list is complete."""
@@ -75,7 +75,7 @@
 
     def _active(self) -> list[Executor]:
         """Ready executors with own work or connections; drops those that have neither any more."""
-        for executor in [one for one in self.active if not (one.held or one.idle)]:
+        for executor in [one for one in self.active if not (one.in_flight_slots or one.idle)]:
             del self.active[executor]
         return [one for one in self.active if one.condition is EndpointState.READY]
 
@@ -89,7 +89,7 @@
 
     def in_slow_start(self, now: float, draw: float) -> list[Executor]:
         """Some of the executors in slow start."""
-        for executor in [one for one in self.cold if one.cold_until <= now]:
+        for executor in [one for one in self.cold if one.slow_start_until <= now]:
             del self.cold[executor]
         return _window(list(self.cold), draw, COLD_LOOKS)
 
@@ -113,4 +113,4 @@
     looked: Iterable[Executor] = among[at : at + 2 * count]
     if at + 2 * count > len(among):
         looked = [*looked, *among[: min(at, at + 2 * count - len(among))]]
-    return list(islice((one for one in looked if not (one.held or one.idle)), count))
+    return list(islice((one for one in looked if not (one.in_flight_slots or one.idle)), count))
--- a/firwalk/policy/executor.py
+++ b/firwalk/policy/executor.py
@@ -28,7 +28,7 @@
         self.lag_at = 0.0
         self.mean = 0.0  # load by others for each slot
         self.missed: list[Executor] = []  # connections failed since one last succeeded
-        self.away_until = 0.0
+        self.unavailable_until = 0.0
 
     def lag_now(self, now: float) -> float:
         """Lag in seconds, fading to nothing without news."""
@@ -43,16 +43,16 @@
         self.cost_mean = 0.0
         self.time_mean = 0.0
         self.slots = 1.0
-        self.met = 0  # samples
+        self.sample_count = 0
 
-    def learn(self, cost: float, took: float, weight: float) -> None:
+    def learn(self, cost: float, duration_s: float, weight: float) -> None:
         """Add a sample: a cost and the seconds that it took."""
-        if not self.met:
+        if not self.sample_count:
             self.cost_mean = cost
             self.time_mean = cost / self.speed
-        self.met += 1
+        self.sample_count += 1
         self.cost_mean += weight * (cost - self.cost_mean)
-        self.time_mean += weight * (took - self.time_mean)
+        self.time_mean += weight * (duration_s - self.time_mean)
         self.speed = self.cost_mean / self.time_mean
 
 
@@ -66,32 +66,32 @@
         self.zone = zone
         self.cell = cell
         self.draw = draw  # decides which requests it gets in slow start
-        self.mark = 0  # its place in the hashing of keys
+        self.name_hash = 0  # its place in the hashing of keys
         self.size = 1.0
         self.condition = EndpointState.REMOVED
-        self.came_up = 0.0
-        self.cold_until = 0.0  # end of its slow start
+        self.started_at = 0.0
+        self.slow_start_until = 0.0  # end of its slow start
         self.unused = False  # nothing was sent since it came up
         self.sent_cold: deque[tuple[float, float]] = deque(maxlen=MAX_SLOW_START_SENDS)  # when, work
         self.work = 0.0  # sum of own outstanding estimates, in seconds
-        self.held = 0.0  # slots of own attempts in flight
-        self.others = 0.0  # slots that others use
+        self.in_flight_slots = 0.0  # slots of own attempts in flight
+        self.slots_of_others = 0.0  # slots that others use
         self.idle = 0  # idle connections
-        self.used_mean = 0.0  # slots in use, by reports
-        self.held_mean = 0.0  # own slots in use
+        self.used_slots_mean = 0.0  # slots in use, by reports
+        self.own_slots_mean = 0.0  # own slots in use
         self.reported_at = 0.0
-        self.warned_at = -GOSSIP_TTL_S  # last error, by any node
+        self.last_error_at = -GOSSIP_TTL_S  # last error, by any node
         self.lag = 0.0  # seconds by which attempts start later than own work explains
         self.lag_at = 0.0
         self.errors = 0.0  # smoothed share of errors
         self.strikes = 0  # signs of silence in a row
-        self.away_until = 0.0  # end of its ejection
+        self.ejected_until = 0.0  # end of its ejection
         self.full_until = 0.0
-        self.on_trial = False  # the next attempt after an ejection decides
+        self.is_half_open = False  # the next attempt after an ejection decides
 
     def rate(self) -> float:
         """Speed times (1 - utilisation by others)."""
-        return self.speed * max(1.0 - self.others / self.slots, MIN_FREE_SHARE)
+        return self.speed * max(1.0 - self.slots_of_others / self.slots, MIN_FREE_SHARE)
 
     def report(self, now: float, values: LoadReport, part: float) -> None:
         """Update the load by others; own work is in the sum of estimates and would count twice.
@@ -114,10 +114,10 @@
             used = self.slots - free
         age = now - self.reported_at
         weight = age / (age + REPORT_SETTLING_S * part)
-        self.used_mean += weight * (used - self.used_mean)
-        self.held_mean += weight * (self.held - self.held_mean)
+        self.used_slots_mean += weight * (used - self.used_slots_mean)
+        self.own_slots_mean += weight * (self.in_flight_slots - self.own_slots_mean)
         self.reported_at = now
-        self.others = max(self.used_mean - self.held_mean, 0.0)
+        self.slots_of_others = max(self.used_slots_mean - self.own_slots_mean, 0.0)
 
     def lag_now(self, now: float, common: float) -> float:
         """Lag in seconds, fading to the zone's: when all are late, moving requests to others only churns."""
--- a/firwalk/policy/executor_set.py
+++ b/firwalk/policy/executor_set.py
@@ -29,32 +29,32 @@
     def _random_position(self) -> int:
         return int(self.random.draw() * CRC32_RANGE)
 
-    def add(self, ref: object, kind: int, zone: int, cell: int, size: float, mark: int) -> Executor:
+    def add(self, ref: object, kind: int, zone: int, cell: int, size: float, name_hash: int) -> Executor:
         """Add an executor with the mean speed of its kind, or of all, or 1; one slot if no size is listed."""
-        known = [estimate.speed for estimate in self.kinds.values() if estimate.met] or [1.0]
+        known = [estimate.speed for estimate in self.kinds.values() if estimate.sample_count] or [1.0]
         of_kind = self.kinds.setdefault(kind, SpeedEstimate(sum(known) / len(known)))
         draw = len(self.executors) * GOLDEN_RATIO % 1.0
         executor = Executor(ref, kind, self.zones.setdefault(zone, Zone()), cell, of_kind.speed, draw)
         executor.slots = max(of_kind.slots, round(size) if self.config.has_sizes else 1.0)
-        executor.mark = mark
+        executor.name_hash = name_hash
         executor.size = size if self.config.has_sizes else 1.0
         self.executors.append(executor)
         self.candidates.add(executor)
         return executor
 
-    def change_state(self, executor: Executor, condition: EndpointState, came_up: float) -> None:
+    def change_state(self, executor: Executor, condition: EndpointState, started_at: float) -> None:
         """Take over what the endpoint list says of an executor; a new start begins its slow start."""
         if condition is not executor.condition:
             self.candidates.record_change(executor, executor.condition is EndpointState.READY)
         executor.condition = condition
-        if condition is EndpointState.READY and came_up > executor.came_up:
-            executor.came_up = came_up
-            executor.cold_until = came_up + self.config.slow_start_s
+        if condition is EndpointState.READY and started_at > executor.started_at:
+            executor.started_at = started_at
+            executor.slow_start_until = started_at + self.config.slow_start_s
             executor.unused = True
-            executor.others = 0.0
+            executor.slots_of_others = 0.0
             executor.errors = 0.0
             executor.strikes = 0
-            executor.away_until = 0.0
+            executor.ejected_until = 0.0
             executor.sent_cold.clear()
             self.candidates.mark_slow_start(executor)
 
--- a/firwalk/policy/load_reports.py
+++ b/firwalk/policy/load_reports.py
@@ -20,7 +20,7 @@
     """Sums over the warm executors of a zone."""
 
     def __init__(self) -> None:
-        self.others = 0.0
+        self.slots_of_others = 0.0
         self.slots = 0.0
 
 
@@ -46,20 +46,20 @@
         """Fade stale loads to the mean of their zone, else old free slots attract hundreds of nodes; poll."""
         executor_set = self.executor_set
         ready = executor_set.near + executor_set.far
-        samples = sum(estimate.met for estimate in executor_set.kinds.values())
+        samples = sum(estimate.sample_count for estimate in executor_set.kinds.values())
         samples_each = min((samples - self.samples_seen) / (len(ready) or 1), 1.0)
         self.samples_seen = samples
         held = 0.0
         used = 0.0
         zone_loads = {zone: ZoneLoad() for zone in executor_set.zones.values()}
         for executor in ready:
-            held += executor.held_mean
-            used += executor.used_mean
+            held += executor.own_slots_mean
+            used += executor.used_slots_mean
             if self.config.polls_load:
                 self._refresh_speed(executor, samples_each)
             self._refresh_load(now, executor, zone_loads[executor.zone])
         for zone, load in zone_loads.items():
-            zone.mean = load.others / load.slots if load.slots else 0.0
+            zone.mean = load.slots_of_others / load.slots if load.slots else 0.0
         if used > 1.0:
             share = min(max(held / used, 0.5 / self.config.node_count), 1.0)
             self.own_share += SHARE_WEIGHT * (share - self.own_share)
@@ -71,18 +71,20 @@
     def _refresh_speed(self, executor: Executor, samples: float) -> None:
         """Draw an unused executor to its kind's speed: one heavy request would bar it for ever."""
         of_kind = self.executor_set.kinds[executor.kind]
-        if executor.cost_mean and not executor.held:
+        if executor.cost_mean and not executor.in_flight_slots:
             executor.learn(executor.cost_mean, executor.cost_mean / of_kind.speed, SPEED_WEIGHT * samples)
-        if not executor.met:
+        if not executor.sample_count:
             executor.speed = of_kind.speed
             executor.slots = max(executor.slots, of_kind.slots)
 
     def _refresh_load(self, now: float, executor: Executor, zone_load: ZoneLoad) -> None:
-        if executor.cold_until < now:  # empty slots in slow start would make full executors look free
-            zone_load.others += executor.others
+        if executor.slow_start_until < now:  # empty slots in slow start would make full executors look free
+            zone_load.slots_of_others += executor.slots_of_others
             zone_load.slots += executor.slots
         if executor.reported_at < now - ROUND_S:
-            executor.others += STALE_WEIGHT * (executor.zone.mean * executor.slots - executor.others)
+            executor.slots_of_others += STALE_WEIGHT * (
+                executor.zone.mean * executor.slots - executor.slots_of_others
+            )
 
     def poll(self) -> None:
         """Poll some executors in turn; a poll is paid for by a request or a round."""
@@ -97,7 +99,7 @@
                 self.host.check_health(executor)
             return start + count
         node_count = self.config.node_count
-        used = sum(e.idle + e.held > 0 for e in among)
+        used = sum(e.idle + e.in_flight_slots > 0 for e in among)
         capacity = (SMALL_FLEET / node_count) ** 2 * len(among) - used
         may_connect = node_count <= SMALL_FLEET or capacity >= 1.0
         polled = [
--- a/firwalk/policy/outlier_ejection.py
+++ b/firwalk/policy/outlier_ejection.py
@@ -41,16 +41,16 @@
         if outcome is Outcome.COMPLETED:
             executor.errors -= FAULT_WEIGHTS[Outcome.ERROR] * executor.errors
             executor.strikes = 0
-            executor.on_trial = False
+            executor.is_half_open = False
         elif outcome is Outcome.AT_CAPACITY:
             executor.full_until = now + FULL_PAUSE_S
         elif outcome in FAULT_WEIGHTS:
             executor.errors += FAULT_WEIGHTS[outcome] * (1.0 - executor.errors)
             if outcome is Outcome.ERROR and self.config.gossips_failures:
                 self.host.gossip_failure(executor)
-                executor.warned_at = now
+                executor.last_error_at = now
             is_unreachable = outcome is Outcome.CONNECT_FAILED
-            if executor.errors > MAX_ERROR_SHARE or is_unreachable or executor.on_trial:
+            if executor.errors > MAX_ERROR_SHARE or is_unreachable or executor.is_half_open:
                 self.eject(now, executor, is_unreachable)
 
     def _record_reachability(self, now: float, executor: Executor, outcome: Outcome) -> None:
@@ -62,7 +62,7 @@
             if executor not in zone.missed:
                 zone.missed.append(executor)
             if len(zone.missed) >= UNREACHABLE_EXECUTORS:
-                zone.away_until = max(self._ejection_end(now), zone.away_until)
+                zone.unavailable_until = max(self._ejection_end(now), zone.unavailable_until)
 
     def record_poll(self, now: float, executor: Executor, outcome: Outcome) -> None:
         """Learn the health of an executor from a load poll that brought no answer."""
@@ -73,8 +73,8 @@
     def record_silence(self, now: float, executor: Executor) -> None:
         """Learn from an attempt that shows no start, or no end, in the time it had."""
         executor.strikes += self.config.reports_starts or not self.config.may_poll_load
-        most = MAX_STRIKES if self.config.uses_reports else 1
-        if executor.strikes >= most or executor.on_trial:
+        max_strikes = MAX_STRIKES if self.config.uses_reports else 1
+        if executor.strikes >= max_strikes or executor.is_half_open:
             self.eject(now, executor)
 
     def _ejection_end(self, now: float) -> float:
@@ -82,11 +82,11 @@
 
     def eject(self, now: float, executor: Executor, is_unreachable: bool = False) -> None:
         """Spare an executor for a while; of reachable ones not so many that the rest are overloaded."""
-        ejected = [e.away_until > now for e in self.executor_set.near + self.executor_set.far]
+        ejected = [e.ejected_until > now for e in self.executor_set.near + self.executor_set.far]
         is_over_limit = sum(ejected) + 1 > MAX_EJECTED_SHARE * len(ejected)
-        if executor.away_until > now or (is_over_limit and not is_unreachable):
+        if executor.ejected_until > now or (is_over_limit and not is_unreachable):
             return
-        executor.away_until = self._ejection_end(now)
-        executor.on_trial = True
+        executor.ejected_until = self._ejection_end(now)
+        executor.is_half_open = True
         executor.strikes = 0
         executor.errors = 0.0
--- a/firwalk/policy/policy.py
+++ b/firwalk/policy/policy.py
@@ -77,16 +77,16 @@
         self.admission.limits = limits
 
     def new_executor(
-        self, ref: object, kind: int, zone: int, cell: int, size: float, mark: int = 0
+        self, ref: object, kind: int, zone: int, cell: int, size: float, name_hash: int = 0
     ) -> Executor:
         """Add an executor that is not ready yet."""
-        return self.executor_set.add(ref, kind, zone, cell, size, mark)
+        return self.executor_set.add(ref, kind, zone, cell, size, name_hash)
 
     def endpoint_changed(
-        self, now: float, executor: Executor, condition: EndpointState, came_up: float
+        self, now: float, executor: Executor, condition: EndpointState, started_at: float
     ) -> None:
         """The endpoint list says something new of an executor."""
-        self.executor_set.change_state(executor, condition, came_up)
+        self.executor_set.change_state(executor, condition, started_at)
 
     def endpoint_list_received(self, now: float) -> None:
         """All changes of a list were told."""
@@ -109,7 +109,7 @@
         cost: float,
         slots: float,
         memory: float,
-        again: bool,
+        is_retry: bool,
         key: bytes = b"",
     ) -> Request:
         """Place or answer a request: `budget` is the time its client waits, `cost` a hint (0: none)."""
@@ -118,7 +118,7 @@
         slots = max(slots, 1.0)
         hint = cost or slots
         cost = kind.cost(hint)
-        objective_at = now + min(self._objective(kind, budget, cost, again), budget)
+        objective_at = now + min(self._objective(kind, budget, cost, is_retry), budget)
         draw = self.random.draw()
         request = Request(ref, kind, hint, cost, slots, draw, objective_at, now + budget)
         if key:
@@ -138,11 +138,11 @@
 
     def _objective(self, kind: RequestClass, budget: float, cost: float, is_retry: bool) -> float:
         """Seconds until the answer is wanted; a retry has what its first attempt left."""
-        kind.most = max(kind.most, budget)
+        kind.max_budget = max(kind.max_budget, budget)
         objective = kind.latency_objective + kind.objective_stretch * cost
         if not is_retry and self.config.marks_retries:
             return objective
-        full_budget = kind.deadline if self.config.marks_retries else kind.most
+        full_budget = kind.deadline if self.config.marks_retries else kind.max_budget
         return objective - max(full_budget - budget, 0.0)
 
     def _place(self, now: float, request: Request) -> None:
@@ -162,8 +162,8 @@
         eligible = [
             e
             for e in among
-            if e.cold_until > now
-            and not e.held
+            if e.slow_start_until > now
+            and not e.in_flight_slots
             and e.condition is EndpointState.READY
             and (e.unused or e.zone is executor_set.own_zone)
             and self.slow_start.has_capacity(now, e, request)
@@ -178,7 +178,7 @@
             return False  # nothing to one that is draining or removed
         if request.attempts and not self.retries.may_retry(now, request, executor):
             return False  # no effect twice
-        is_warming_up = executor.cold_until > now
+        is_warming_up = executor.slow_start_until > now
         if is_warming_up and not self.slow_start.has_capacity(now, executor, request):
             return False  # no overload in slow start
         estimate = self.selection.estimate(executor, request)
@@ -198,7 +198,7 @@
             return False
         request = attempt.request
         executor = attempt.executor
-        has_restarted = executor.came_up > attempt.sent_at and executor.cold_until > now
+        has_restarted = executor.started_at > attempt.sent_at and executor.slow_start_until > now
         return executor.condition is EndpointState.READY and (
             not has_restarted or self.slow_start.has_capacity(now, executor, request, request.slots)
         )
@@ -276,25 +276,25 @@
         self,
         now: float,
         attempt: Attempt,
-        how: Outcome,
-        took: float,
+        outcome: Outcome,
+        duration_s: float,
         complete: bool,
         report: LoadReport | None,
     ) -> None:
-        """An attempt ended after `took` seconds; `complete`: its request has its answer."""
+        """An attempt ended after `duration_s` seconds; `complete`: its request has its answer."""
         request = attempt.request
         self.selection.subtract(attempt)
-        attempt.may_have_run = how not in NEVER_RAN
-        self.ejection.record_outcome(now, attempt, how)
-        if how is Outcome.COMPLETED:
-            self.selection.learn(now, attempt, took)
+        attempt.may_have_run = outcome not in NEVER_RAN
+        self.ejection.record_outcome(now, attempt, outcome)
+        if outcome is Outcome.COMPLETED:
+            self.selection.learn(now, attempt, duration_s)
         if report:
             self.load_reports.apply(now, attempt.executor, report)
         if complete:
             self.request_withdrawn(now, request)
         elif now >= request.deadline or request.bound:
             self._give_up(now, request)
-        elif request.is_open and (not request.in_flight or how is not Outcome.CANCELLED):
+        elif request.is_open and (not request.in_flight or outcome is not Outcome.CANCELLED):
             self._place(now, request)
 
     def request_withdrawn(self, now: float, request: Request) -> None:
@@ -311,14 +311,14 @@
             self.executor_set.candidates.mark_active(executor)
 
     def health_check_ended(
-        self, now: float, executor: Executor, how: Outcome, took: float, report: LoadReport | None
+        self, now: float, executor: Executor, outcome: Outcome, duration_s: float, report: LoadReport | None
     ) -> None:
         """A load poll ended."""
-        if how is Outcome.COMPLETED and report:
+        if outcome is Outcome.COMPLETED and report:
             self.load_reports.apply(now, executor, report)
-        elif how not in (Outcome.COMPLETED, Outcome.AT_CAPACITY):
-            self.ejection.record_poll(now, executor, how)
+        elif outcome not in (Outcome.COMPLETED, Outcome.AT_CAPACITY):
+            self.ejection.record_poll(now, executor, outcome)
 
     def peer_reported_failure(self, now: float, executor: Executor) -> None:
         """Another node saw it err: it becomes the last choice for requests that cannot be repeated."""
-        executor.warned_at = now
+        executor.last_error_at = now
--- a/firwalk/policy/request.py
+++ b/firwalk/policy/request.py
@@ -37,8 +37,8 @@
         self.key_ttl = key_ttl
         self.objective_stretch = objective_stretch  # of the latency objective, for each unit of cost
         self.work_kind = work_kind
-        self.most = 0.0  # longest time budget that arrived
-        self.met = 0  # hints that arrived
+        self.max_budget = 0.0  # longest time budget that arrived
+        self.hint_count = 0  # hints that arrived
         self.log_mean = 0.0  # of those
         self.log_spread = 0.0  # their variance
         self.finished = 0  # completed requests
@@ -49,8 +49,8 @@
 
     def cost(self, hint: float) -> float:
         """Expected cost: the hint, shrunk towards the class mean as far as hints have proved unreliable."""
-        self.met += 1
-        weight = max(1.0 / self.met, MIN_HINT_WEIGHT)
+        self.hint_count += 1
+        weight = max(1.0 / self.hint_count, MIN_HINT_WEIGHT)
         log_hint = log(hint)
         deviation = log_hint - self.log_mean
         self.log_mean += weight * deviation
--- a/firwalk/policy/selection.py
+++ b/firwalk/policy/selection.py
@@ -87,7 +87,7 @@
         request = attempt.request
         executor = attempt.executor
         request.in_flight += 1
-        executor.held += request.slots
+        executor.in_flight_slots += request.slots
         executor.work += attempt.estimate
         executor.unused = False
         self.executor_set.candidates.mark_active(executor)
@@ -100,8 +100,8 @@
         executor = attempt.executor
         attempt.is_in_flight = False
         request.in_flight -= 1
-        executor.held -= request.slots
-        executor.work = executor.work - attempt.estimate if executor.held else 0.0
+        executor.in_flight_slots -= request.slots
+        executor.work = executor.work - attempt.estimate if executor.in_flight_slots else 0.0
 
     def wait(self, now: float, executor: Executor, slots: float) -> float:
         """Seconds until so many slots are free, by own work and by what reports tell of others'."""
@@ -109,11 +109,11 @@
         return self._wait_after(lag, executor, slots)
 
     def _wait_after(self, lag: float, executor: Executor, slots: float) -> float:
-        others = executor.others if self.config.uses_reports else 0.0
-        missing = executor.held + others + min(slots, executor.slots) - executor.slots
-        if missing <= 0.0 or not executor.held:
+        others = executor.slots_of_others if self.config.uses_reports else 0.0
+        missing = executor.in_flight_slots + others + min(slots, executor.slots) - executor.slots
+        if missing <= 0.0 or not executor.in_flight_slots:
             return lag + max(missing, 0.0) * self.mean_cost / (executor.speed * executor.slots)
-        return lag + missing * executor.work / (executor.held * executor.slots)
+        return lag + missing * executor.work / (executor.in_flight_slots * executor.slots)
 
     def _reach_costs(self, request: Request, time_left: float) -> ReachCosts:
         executor_set = self.executor_set
@@ -159,7 +159,7 @@
             if best is not None and load > best_load or stays_near and zone is not own_zone:
                 continue
             load += executor.work / executor.slots
-            if is_unrepeatable and now < executor.warned_at + GOSSIP_TTL_S:
+            if is_unrepeatable and now < executor.last_error_at + GOSSIP_TTL_S:
                 load += time_left
             if reports_starts:  # work of others that waits there is not in the own sum
                 lag = executor.lag_now(now, zone_lags[zone])
@@ -181,17 +181,19 @@
         self, now: float, request: Request, executor: Executor, lag: float, slack_part: float, is_move: bool
     ) -> float | None:
         """Seconds in the queue; None where the request may not go there, or would be late."""
-        if executor.away_until > now or executor.full_until > now or executor.zone.away_until > now:
+        if executor.ejected_until > now or executor.full_until > now or executor.zone.unavailable_until > now:
             return None
         kind = request.request_class
-        if executor.on_trial and (executor.held or kind.idempotency is Idempotency.NON_IDEMPOTENT):
+        if executor.is_half_open and (
+            executor.in_flight_slots or kind.idempotency is Idempotency.NON_IDEMPOTENT
+        ):
             return None
         if kind.work_kind >= 0 and executor.kind != kind.work_kind:
             return None
         if request.attempts and not self.retries.may_retry(now, request, executor, is_move):
             return None
         speed = executor.speed  # not the rate: a busy executor makes a request wait, it is not slower
-        if executor.cold_until > now:
+        if executor.slow_start_until > now:
             if not self.slow_start.has_capacity(now, executor, request):
                 return None
             speed *= self.slow_start.warmth(now, executor)
@@ -204,21 +206,21 @@
         least = zone_lag + (0.0 if is_own_zone else crossing)
         return min(least, crossing if self.executor_set.far else least)
 
-    def learn(self, now: float, attempt: Attempt, took: float) -> None:
+    def learn(self, now: float, attempt: Attempt, duration_s: float) -> None:
         """Learn speeds from a completed attempt that took so many seconds, or was seen to start."""
         executor = attempt.executor
         request = attempt.request
         if attempt.started_at:
-            took = now - attempt.started_at
+            duration_s = now - attempt.started_at
         elif attempt.wait:
             return  # time in a queue is not slowness: such samples made all look slow, and none in time
-        took = max(took, self.config.clock_resolution_s)
-        if executor.cold_until > now:
-            took *= self.slow_start.warmth(now, executor)  # else the slow start would count twice
+        duration_s = max(duration_s, self.config.clock_resolution_s)
+        if executor.slow_start_until > now:
+            duration_s *= self.slow_start.warmth(now, executor)  # else the slow start would count twice
         of_kind = self.executor_set.kinds[executor.kind]
-        of_kind.met += 1
+        of_kind.sample_count += 1
         of_kind.slots = max(of_kind.slots, executor.slots)
-        weight = max(1.0 / (of_kind.met + 1), KIND_WEIGHT)
-        of_kind.speed *= (request.cost / took / of_kind.speed) ** weight
-        executor.learn(request.cost, took, SPEED_WEIGHT)
-        request.request_class.learn(request.hint, took * executor.speed)
+        weight = max(1.0 / (of_kind.sample_count + 1), KIND_WEIGHT)
+        of_kind.speed *= (request.cost / duration_s / of_kind.speed) ** weight
+        executor.learn(request.cost, duration_s, SPEED_WEIGHT)
+        request.request_class.learn(request.hint, duration_s * executor.speed)
--- a/firwalk/policy/slow_start.py
+++ b/firwalk/policy/slow_start.py
@@ -31,7 +31,7 @@
     def warmth(self, now: float, executor: Executor) -> float:
         """Share of its speed that an executor has reached."""
         config = self.config
-        ramp = max(now - executor.came_up, 0.0) / max(config.slow_start_s, MIN_RAMP_S)
+        ramp = max(now - executor.started_at, 0.0) / max(config.slow_start_s, MIN_RAMP_S)
         return min(config.slow_start_initial + (1.0 - config.slow_start_initial) * ramp, 1.0)
 
     def measure_capacity(self, now: float, executors: Iterable[Executor]) -> None:
@@ -57,7 +57,7 @@
         allowed = bears * config.slow_start_multiple * config.slow_start_window_s  # by all nodes together
         if (
             request.work > HEAVY_SHARE * allowed
-            or executor.held - own_slots + executor.others >= executor.slots
+            or executor.in_flight_slots - own_slots + executor.slots_of_others >= executor.slots
         ):
             return False  # nor a queue: it may be slower than it looks
         sent = sum(work for at, work in executor.sent_cold if at > now - config.slow_start_window_s)
--- a/firwalk/policy/sticky_executors.py
+++ b/firwalk/policy/sticky_executors.py
@@ -43,6 +43,6 @@
             return candidates.successors(key_hash, EXECUTORS_PER_KEY)
         ready = sorted(
             self.executor_set.near + self.executor_set.far,
-            key=lambda e: e.size / log((crc32(b"%d" % (key_hash * e.mark)) + 1) / HASH_RANGE),
+            key=lambda e: e.size / log((crc32(b"%d" % (key_hash * e.name_hash)) + 1) / HASH_RANGE),
         )
         return tuple(ready[:EXECUTORS_PER_KEY])
--- a/firwalk/wirehost/__main__.py
+++ b/firwalk/wirehost/__main__.py
@@ -137,7 +137,7 @@
         if scope:
             for address, executor in known.items():
                 if address not in named:
-                    node.endpoint_changed(now, executor, EndpointState.REMOVED, executor.came_up)
+                    node.endpoint_changed(now, executor, EndpointState.REMOVED, executor.started_at)
         node.endpoint_list_received(now)
 
     def report(self, values):
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -70,7 +70,9 @@
         self.seat.evidence(self.now)
 
     def shunned(self):
-        return [n for n, zone in self.dispatcher.policy.zones.items() if zone.away_until == float("inf")]
+        return [
+            n for n, zone in self.dispatcher.policy.zones.items() if zone.unavailable_until == float("inf")
+        ]
 
     def took(self, count=60, offering="read"):
         """Zones of the executors that tasks were sent to, and how many were turned away at once."""
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -92,8 +92,8 @@
 
     def choose(self, now, request, among, is_move=False):
         executors = self.executor_set.near + self.executor_set.far
-        ready = [e for e in executors if not request.attempts and e.came_up]
-        newest = max(ready, key=lambda e: e.came_up, default=None)
+        ready = [e for e in executors if not request.attempts and e.started_at]
+        newest = max(ready, key=lambda e: e.started_at, default=None)
         return newest or real(self, now, request, among, is_move)
 
     selection.Selection.choose = choose
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -26,7 +26,7 @@
     play = fleet(count)
     for n in range(60):
         play.request(f"t{n}")
-    active = sum(one.held > 0 for one in play.node.executor_set.executors)
+    active = sum(one.in_flight_slots > 0 for one in play.node.executor_set.executors)
     assert len(looked_at(play)) <= active + NEAR_LOOKS + FAR_LOOKS
 
 
@@ -46,7 +46,7 @@
         if chance.random() < 0.5 and request.attempts and request.attempts[0].is_in_flight:
             play.end(request, Outcome.COMPLETED)
     node = play.node
-    own = [one for one in node.executor_set.executors if one.held or one.idle]
+    own = [one for one in node.executor_set.executors if one.in_flight_slots or one.idle]
     sample = looked_at(play)
     assert set(own) <= set(sample) and len(sample) == len(set(sample))
     probe = play.request("probe", cost=0.05)
@@ -97,14 +97,14 @@
     play.now = 11.0
     for n in range(200):
         play.request(f"t{n}", cost=0.01)
-    assert any(play.executors[name].held for name in names)
+    assert any(play.executors[name].in_flight_slots for name in names)
 
 
 def test_a_key_has_the_same_homes_at_all_nodes_and_few_move_when_one_leaves():
     play = fleet(600)
     for number, name in enumerate(play.executors):
-        play.executors[name].mark = (number * 2654435761) % (1 << 32)
-    ring = sorted((one.mark, number, one) for number, one in enumerate(play.node.executor_set.executors))
+        play.executors[name].name_hash = (number * 2654435761) % (1 << 32)
+    ring = sorted((one.name_hash, number, one) for number, one in enumerate(play.node.executor_set.executors))
     play.node.executor_set.candidates.ring = ring
     points = [n * 4294967 for n in range(1000)]
     before = {point: play.node.executor_set.candidates.successors(point, 3) for point in points}
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -38,7 +38,7 @@
     f.end(one, Outcome.AT_CAPACITY)
     assert a.work == pytest.approx(0.2)
     f.end(two, Outcome.COMPLETED)
-    assert (a.work, a.held) == (0.0, 0)
+    assert (a.work, a.in_flight_slots) == (0.0, 0)
 
 
 def test_crossing_needs_more_than_a_little_work_and_is_not_for_light_tasks():
@@ -149,9 +149,9 @@
 def test_an_old_report_of_free_slots_fades_to_the_mean_of_its_zone():
     f = Fake(reports_starts=False)
     f.hear("old", "busy", slots=4)
-    f.node.executor_set.executors[1].others = 12.0
+    f.node.executor_set.executors[1].slots_of_others = 12.0
     f.until(5.0)
-    assert f.executors["old"].others == pytest.approx(f.executors["busy"].others, rel=0.5)
+    assert f.executors["old"].slots_of_others == pytest.approx(f.executors["busy"].slots_of_others, rel=0.5)
 
 
 def test_silent_executor_is_left_and_set_aside_and_tried_again():
@@ -194,7 +194,7 @@
         request = f.request(name)
         where = request.attempts[0].executor
         f.node.attempt_ended(f.now, request.attempts[0], Outcome.CONNECT_FAILED, 0.25, False, None)
-        assert where.away_until > f.now
+        assert where.ejected_until > f.now
 
 
 def test_hopeless_waiting_is_answered_at_once():
@@ -234,11 +234,14 @@
     a = f.executors["A"]
     for n in range(60):
         a.report(n, {"held": 2.0, "free_slots": 2.0}, 1.0)
-    assert a.others == pytest.approx(0.0, abs=0.01)
+    assert a.slots_of_others == pytest.approx(0.0, abs=0.01)
     a.report(61, {"held": 9.0, "free_slots": 1.0}, 1.0)
-    slow = a.others
+    slow = a.slots_of_others
     a.report(62, {"held": 9.0, "free_slots": 1.0}, 0.01)
-    assert (a.slots, slow < 1.5 < 4.0 < a.others) == (4, True)  # mostly others' traffic: believed at once
+    assert (a.slots, slow < 1.5 < 4.0 < a.slots_of_others) == (
+        4,
+        True,
+    )  # mostly others' traffic: believed at once
 
 
 def test_cold_samples_and_queued_samples_do_not_slow_an_executor():
@@ -251,7 +254,7 @@
     f.until(0.4)
     f.end(two, Outcome.COMPLETED)
     assert a.speed == pytest.approx(1.0)
-    a.came_up, a.cold_until = f.now, f.now + 10.0
+    a.started_at, a.slow_start_until = f.now, f.now + 10.0
     f.node.slow_start.capacity, f.node.slow_start.offered = 0.0001, 0.0  # its draw lets it go there
     three = f.request("three", 0.05)
     f.until(0.4 + 0.05 / 0.2)
@@ -373,8 +376,8 @@
         f.node.random.seed = seeds.getrandbits(64)
         f.hear("A", "B", "C")
         f.end(f.request("t"), Outcome.CONNECT_FAILED)
-        lost = next(e for e in f.node.executor_set.executors if e.away_until)
-        times.append(lost.away_until)
+        lost = next(e for e in f.node.executor_set.executors if e.ejected_until)
+        times.append(lost.ejected_until)
     assert 3.0 <= min(times) < 3.5 and 5.5 < max(times) <= 6.0
     assert max(sum(at <= t < at + 0.5 for t in times) for at in times) <= 14
 
@@ -439,7 +442,7 @@
     f.node.peer_reported_failure(f.now, f.executors["A"])
     assert f.request("act").attempts[0].executor is f.executors["B"]
     assert f.request("read", kind=1).attempts[0].executor is f.executors["A"]
-    f.executors["B"].away_until = 9.0
+    f.executors["B"].ejected_until = 9.0
     assert f.request("last", budget=9.0).attempts[0].executor is f.executors["A"]  # none other is left
     lone = Fake(node_count=6, may_gossip=True)
     lone.hear("A")
@@ -472,7 +475,7 @@
     f.hear("A", "B")
     request = f.request("t", 0.3)
     for executor in f.executors.values():
-        executor.speed, executor.met = 2.0, 1
+        executor.speed, executor.sample_count = 2.0, 1
     f.until(5.4)
     assert [a.is_in_flight for a in request.attempts] == [True, True] and not f.called
 
@@ -486,7 +489,7 @@
         if request.attempts[0].executor.ref == "A":
             f.end(request, how)
     assert sum(request.attempts[0].executor.ref == "A" for request in requests) == 2
-    assert (f.executors["A"].away_until > f.now) is aside
+    assert (f.executors["A"].ejected_until > f.now) is aside
 
 
 def test_what_cannot_end_while_its_client_waits_is_bounced_at_once():
@@ -502,7 +505,7 @@
     a = f.node.new_executor("A", 0, 0, 0, 4.0)
     f.node.endpoint_changed(0.0, a, EndpointState.READY, 0.0)
     f.node.endpoint_list_received(0.0)
-    assert f.request("wide", 0.2, slots=2.0).attempts and (a.slots, a.held) == (4.0, 2.0)
+    assert f.request("wide", 0.2, slots=2.0).attempts and (a.slots, a.in_flight_slots) == (4.0, 2.0)
     assert a.work == pytest.approx(0.4)
     assert f.node.selection.wait(0.0, a, 2.0) == 0.0 < f.node.selection.wait(0.0, a, 4.0)
     assert Fake().node.new_executor("B", 0, 0, 0, 4.0).slots == 1.0  # of sizes that mean nothing
@@ -645,12 +648,17 @@
     f.hear("far", "away", "off", zone=1)
     zone = f.executors["off"].zone
     for name in ("far", "far", "away", "off"):
-        assert not zone.away_until  # one crashed executor, met again, does not make its zone unreachable
+        assert (
+            not zone.unavailable_until
+        )  # one crashed executor, met again, does not make its zone unreachable
         request = f.request("t")
         request.attempts[0].executor = f.executors[name]
         f.node.ejection.record_outcome(f.now, request.attempts[0], Outcome.CONNECT_FAILED)
-    assert f.now + 3.0 <= zone.away_until <= f.now + 6.0 and not f.node.executor_set.own_zone.away_until
-    f.executors["near"].away_until = 9.0
+    assert (
+        f.now + 3.0 <= zone.unavailable_until <= f.now + 6.0
+        and not f.node.executor_set.own_zone.unavailable_until
+    )
+    f.executors["near"].ejected_until = 9.0
     assert not f.request("during").attempts
     f.until(6.5)
     assert f.request("after").attempts[0].executor.ref in ("far", "away", "off")
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -125,9 +125,9 @@
         assert len(sent) == warns
         for content in (b"", b"\0" * 4, b"\xff" * 256, *sent):
             heard.dispatcher.report_peer(3, content)
-    warned = [name for name, e in heard.dispatcher.executors.items() if e.warned_at == 1000.0]
+    warned = [name for name, e in heard.dispatcher.executors.items() if e.last_error_at == 1000.0]
     assert len(warned) == 1
-    assert [name for name, e in told.dispatcher.executors.items() if e.warned_at == 1000.0] == warned
+    assert [name for name, e in told.dispatcher.executors.items() if e.last_error_at == 1000.0] == warned
 
 
 def test_a_mark_that_two_executors_share_names_neither():
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -89,14 +89,14 @@
 def test_called_back_it_is_cold_with_nothing_old_against_it():
     p = Play(2, COLD)
     e = p.dispatcher.executors["e0"]
-    e.errors, e.strikes, e.away_until = 0.4, 1, p.now + 60.0
+    e.errors, e.strikes, e.ejected_until = 0.4, 1, p.now + 60.0
     p.dispatcher.detach_executor("e0")
     p.until(p.now + 4.0)
     p.dispatcher.attach_executor("e0")
-    assert e.condition is EndpointState.READY and e.cold_until == p.now + 3.0
-    assert (e.errors, e.strikes, e.away_until) == (0.0, 0, 0.0)
+    assert e.condition is EndpointState.READY and e.slow_start_until == p.now + 3.0
+    assert (e.errors, e.strikes, e.ejected_until) == (0.0, 0, 0.0)
     p.hear(("e0", EndpointState.READY), version=2)  # a list that has not noticed the restart
-    assert e.came_up == p.now
+    assert e.started_at == p.now
 
 
 def test_a_later_start_that_the_list_tells_counts_as_told():
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -45,7 +45,10 @@
     assert SendAttempt in kinds(p.take("look"))
     assert p.take("act") is None and list(p.dispatcher.removed_classes) == ["act"]
     stays = p.dispatcher.policy.request_classes[p.dispatcher.request_classes["read"]]
-    assert stays is not learnt and (stays.met, stays.finished) == (learnt.met, learnt.finished) == (1, 1)
+    assert stays is not learnt and (stays.hint_count, stays.finished) == (
+        learnt.hint_count,
+        learnt.finished,
+    ) == (1, 1)
     p.dispatcher.report_settings(SETTINGS)
     assert list(p.dispatcher.removed_classes) == ["look"] and SendAttempt in kinds(p.take("act"))
 
