--- a/firwalk/lab/soak/shim.py
+++ b/firwalk/lab/soak/shim.py
@@ -107,7 +107,7 @@
 
 def _delay_connects(chance: random.Random, rate: float, most_s: float) -> None:
     """Connections that come up late."""
-    from firwalk.net import discovery, executors, waiting
+    from firwalk.net import discovery, executor_pool, waiting
 
     real = waiting.connected
 
@@ -117,7 +117,7 @@
             await asyncio.sleep(chance.uniform(0.0, most_s))
         await real(sock, address)
 
-    executors.connected = discovery.connected = connected
+    executor_pool.connected = discovery.connected = connected
 
 
 def _patch(told: str) -> None:
--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -610,7 +610,7 @@
             match action:
                 case SendAttempt():
                     message = _message(target, headers, body, action.deadline, self.dispatcher.clock)
-                    self.executors.carry(
+                    self.executors.send_attempt(
                         pending,
                         action.number,
                         action.endpoint,
@@ -619,7 +619,7 @@
                         action.is_non_idempotent,
                     )
                 case CancelAttempt():
-                    self.executors.call_off(pending, action.number)
+                    self.executors.cancel_attempt(pending, action.number)
                 case _ if client.pending is not pending:
                     pass  # the client has been sent away meanwhile
                 case CompleteRequest():
--- /dev/null
+++ b/firwalk/net/executor_pool.py
@@ -0,0 +1,254 @@
+"""The connections to all executors: opened, kept idle for the next call, closed, or handed over."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections import deque
+from collections.abc import Callable
+from time import monotonic
+
+from firwalk.dispatcher.dispatcher import Dispatcher
+from firwalk.dispatcher.endpoint import Endpoint
+from firwalk.net.address import new_socket
+from firwalk.net.budget import Budget
+from firwalk.net.buffers import Buffers
+from firwalk.net.executor_connection import ConnectionOwner, ExecutorConnection
+from firwalk.net.waiting import connected
+from firwalk.observability.events import CloseReason, EventLog
+
+DESCRIPTOR_POLL_INTERVAL_S = 0.01
+MAX_ROUND_TRIP_S = 0.02  # taken for longer ones, and for those that are not known yet
+IDLE_TIMEOUT_FRACTION = 0.8  # of the time after which an executor closes an idle connection: ours ends before
+
+DEAD_MEMORY_S = 30.0  # for which dead connections tell how long an idle one can be relied on
+MAX_DEAD_CONNECTIONS = 16
+MIN_DEAD_CONNECTIONS = 2  # one alone may have been an executor's end
+
+SHORT_IDLE_S = 1.0  # an executor that closes idle connections sooner ...
+SHORT_IDLE_MEMORY_S = 10.0  # ... gets no connection opened for a health check for so long
+
+
+class DescriptorShortage(Exception):
+    """No descriptor became free in the time that a connection may take."""
+
+
+class DeadConnection:
+    """A connection that had been idle and ended without a response to its next call."""
+
+    __slots__ = ("ended_at", "idle_s")
+
+    def __init__(self, ended_at: float, idle_s: float) -> None:
+        self.ended_at = ended_at
+        self.idle_s = idle_s
+
+
+class ConnectionPool(ConnectionOwner):
+    """All connections to executors, and which of them are idle."""
+
+    def __init__(
+        self,
+        dispatcher: Dispatcher,
+        budget: Budget,
+        buffers: Buffers,
+        connect_timeout_s: float,
+        idle_timeout_s: float,
+        events: EventLog | None = None,
+    ) -> None:
+        self.dispatcher = dispatcher
+        self.budget = budget
+        self.buffers = buffers
+        self.events = events or EventLog()
+        self.connect_timeout_s = connect_timeout_s
+        self.idle_timeout_s = idle_timeout_s * IDLE_TIMEOUT_FRACTION
+        self.connections: dict[ExecutorConnection, None] = {}
+        self.idle: dict[Endpoint, list[ExecutorConnection]] = {}  # the one used last at the end
+        self.round_trips_s: dict[Endpoint, float] = {}  # the shortest ones
+        self.closed_early_at: dict[Endpoint, float] = {}  # when an executor last closed an idle one early
+        self.dead: deque[DeadConnection] = deque(maxlen=MAX_DEAD_CONNECTIONS)
+        budget.shed_link = self.evict_idle
+
+    # -- taking and putting back -------------------------------------------------------------------------
+
+    def take(self, endpoint: Endpoint, is_non_idempotent: bool = False) -> ExecutorConnection | None:
+        """The idle connection used last, if there is one.
+
+        A non-idempotent request is not risked on one that may be dead; it stays for requests that can be
+        repeated.
+        """
+        idle = self.idle.get(endpoint, [])
+        now = monotonic()
+        if is_non_idempotent and idle and now - idle[-1].idle_since >= self._reliable_idle_s():
+            return None
+        while idle:
+            connection = idle.pop()
+            connection.idle_s = now - connection.idle_since
+            if connection.is_open and connection.is_alive() and connection.idle_s < self.idle_timeout_s:
+                self.dispatcher.report_idle(endpoint, len(idle))
+                return connection
+            connection.close(CloseReason.UNRELIABLE)
+        self.dispatcher.report_idle(endpoint, 0)
+        return None
+
+    def _reliable_idle_s(self) -> float:
+        """For how long an idle connection can be relied on, by those that were dead when used lately."""
+        since = monotonic() - DEAD_MEMORY_S
+        idle_times = [dead.idle_s for dead in self.dead if dead.ended_at > since]
+        return min(idle_times) if len(idle_times) >= MIN_DEAD_CONNECTIONS else self.idle_timeout_s
+
+    def put_back(self, connection: ExecutorConnection) -> None:
+        """Keeps a connection for the next call, unless its executor has moved or is detached."""
+        endpoint = connection.endpoint
+        if (
+            not connection.is_open
+            or connection.address != endpoint.address
+            or not self.dispatcher.keeps_connections_to(endpoint)
+        ):
+            connection.close(CloseReason.EXECUTOR_GONE)  # at its old address may be another executor
+            return
+        connection.idle_since = monotonic()
+        self.idle.setdefault(endpoint, []).append(connection)
+        self.dispatcher.report_idle(endpoint, len(self.idle[endpoint]))
+
+    # -- opening -----------------------------------------------------------------------------------------
+
+    async def connect(self, endpoint: Endpoint) -> ExecutorConnection:
+        """Opens a connection, or takes one that becomes idle while no descriptor is free.
+
+        Raises OSError, TimeoutError or DescriptorShortage.
+        """
+        return await self._wait_for_descriptor(endpoint) or await self.open(endpoint)
+
+    async def _wait_for_descriptor(self, endpoint: Endpoint) -> ExecutorConnection | None:
+        """Reserves a descriptor, or returns a connection that has become idle meanwhile.
+
+        Failed at once for lack of one, a request would use up all its attempts in a moment.
+        """
+        end = monotonic() + self.connect_timeout_s
+        while not self.budget.open_link():
+            if monotonic() > end:
+                raise DescriptorShortage
+            await asyncio.sleep(DESCRIPTOR_POLL_INTERVAL_S)
+            connection = self.take(endpoint)
+            if connection is not None:
+                return connection
+        return None
+
+    def reserve_for_health_check(self, endpoint: Endpoint) -> bool:
+        """Reserves a descriptor, if a connection may be opened for a health check alone."""
+        closed_early_at = self.closed_early_at.get(endpoint, 0.0)
+        if closed_early_at > monotonic() - SHORT_IDLE_MEMORY_S:
+            return False
+        return self.budget.open_link(probe=True)
+
+    async def open(self, endpoint: Endpoint) -> ExecutorConnection:
+        """Opens a connection on a reserved descriptor; raises OSError or TimeoutError."""
+        sock = None
+        began_at = monotonic()
+        try:
+            sock = new_socket(endpoint.address)
+            async with asyncio.timeout(self.connect_timeout_s):
+                await connected(sock, endpoint.address)
+        except BaseException:
+            if sock is not None:
+                sock.close()
+            self.budget.close_link()
+            raise
+        self.record_round_trip(endpoint, monotonic() - began_at)
+        return self._add(endpoint, sock)
+
+    def _add(self, endpoint: Endpoint, sock: socket.socket) -> ExecutorConnection:
+        connection = ExecutorConnection(self, endpoint, sock)
+        self.connections[connection] = None
+        return connection
+
+    # -- what connections report -------------------------------------------------------------------------
+
+    def record_round_trip(self, endpoint: Endpoint, round_trip_s: float) -> None:
+        """Keeps the shortest round trip to an executor."""
+        self.round_trips_s[endpoint] = min(round_trip_s, self.round_trips_s.get(endpoint, MAX_ROUND_TRIP_S))
+
+    def record_unanswered(self, connection: ExecutorConnection) -> None:
+        """Remembers for how long the connection had been idle, if it was."""
+        if connection.idle_s:
+            self.dead.append(DeadConnection(monotonic(), connection.idle_s))
+
+    def remove(self, connection: ExecutorConnection, was_closed_by_peer: bool) -> None:
+        """Forgets a connection that has ended."""
+        self.budget.close_link()
+        del self.connections[connection]
+        endpoint = connection.endpoint
+        idle = self.idle.get(endpoint, [])
+        if connection in idle:
+            idle.remove(connection)
+            self.dispatcher.report_idle(endpoint, len(idle))
+            if was_closed_by_peer and monotonic() - connection.idle_since < SHORT_IDLE_S:
+                self.closed_early_at[endpoint] = monotonic()
+
+    # -- closing idle connections ------------------------------------------------------------------------
+
+    def close_idle(self, endpoint: Endpoint) -> None:
+        """Closes the idle connections to an executor."""
+        for connection in self.idle.pop(endpoint, []):
+            connection.close(CloseReason.EXECUTOR_GONE)
+        self.dispatcher.report_idle(endpoint, 0)
+
+    def evict_idle(self) -> bool:
+        """Closes the connection that has been idle longest; False if none is idle."""
+        longest_idle = [idle[0] for idle in self.idle.values() if idle]
+        if not longest_idle:
+            return False
+        oldest = min(longest_idle, key=lambda connection: connection.idle_since)
+        self.idle[oldest.endpoint].remove(oldest)
+        oldest.close(CloseReason.EVICTED)
+        return True
+
+    def close_expired(self) -> None:
+        """Closes what executors would soon close: a request written just then would break off."""
+        expired = monotonic() - self.idle_timeout_s
+        for idle in self.idle.values():
+            while idle and idle[0].idle_since < expired:
+                idle.pop(0).close(CloseReason.IDLE)
+
+    # -- hot restart -------------------------------------------------------------------------------------
+
+    def hand_over_idle(self, send: Callable[[str, float, float | None, socket.socket], None]) -> None:
+        """Gives all idle connections to another process of this node.
+
+        Calls `send(executor, idle_since, round_trip_s, sock)` for each, once its reader has ended. Should an
+        executor close one meanwhile, the other process sees that as this one would.
+        """
+        for endpoint, idle in self.idle.items():
+            for connection in idle:
+                connection.release = _bind_idle_handover(
+                    send, endpoint.name, connection.idle_since, self.round_trips_s.get(endpoint)
+                )
+                connection.close(CloseReason.HANDED_OVER)
+            self.dispatcher.report_idle(endpoint, 0)
+        self.idle.clear()
+
+    def adopt(self, endpoint: Endpoint, sock: socket.socket) -> ExecutorConnection:
+        """Takes a connection of another process of this node: counted there until now, it fits."""
+        sock.setblocking(False)
+        self.budget.adopt_link()
+        return self._add(endpoint, sock)
+
+    def adopt_idle(
+        self, endpoint: Endpoint, sock: socket.socket, idle_since: float, round_trip_s: float | None
+    ) -> None:
+        """Takes an idle connection of another process of this node; raises OSError if it has ended."""
+        connection = self.adopt(endpoint, sock)
+        connection.address = sock.getpeername()[:2]  # it may be of an executor that has moved
+        if round_trip_s is not None:
+            self.record_round_trip(endpoint, round_trip_s)
+        self.put_back(connection)
+        connection.idle_since = min(idle_since, connection.idle_since)
+
+
+def _bind_idle_handover(
+    send: Callable[[str, float, float | None, socket.socket], None],
+    executor: str,
+    idle_since: float,
+    round_trip_s: float | None,
+) -> Callable[[socket.socket], None]:
+    return lambda sock: send(executor, idle_since, round_trip_s, sock)
--- a/firwalk/net/executors.py
+++ b/firwalk/net/executors.py
@@ -1,274 +1,170 @@
-"""Connections to executors: a pool for each, the carrying of assignments, and probes.
+"""What executors are asked: attempts of requests and health checks, and what their responses mean.
 
-One connection carries one thing at a time and is used again once its answer is whole. Nothing whose last
-byte was written is ever sent a second time from here: what became of an assignment is reported, and the
-decisions go on from there. The last byte is held back for a moment, in which a dead connection shows: until
-then nothing can have run, and another connection is taken.
+Nothing whose last byte was written is sent a second time from here: the outcome of the attempt is reported,
+and the dispatcher decides on a retry. Where a connection breaks before that byte, another one is taken.
 """
 
 from __future__ import annotations
 
 import asyncio
 import socket
-from collections import deque
 from collections.abc import Callable
 from time import monotonic
+from typing import Any, cast
 
 import orjson
 
-from firwalk.dispatcher.dispatcher import Dispatcher, Endpoint, PendingRequest
+from firwalk.dispatcher.dispatcher import Dispatcher, PendingRequest
+from firwalk.dispatcher.endpoint import Endpoint
 from firwalk.net import http
-from firwalk.net.address import host_header, new_socket
+from firwalk.net.address import host_header
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
-from firwalk.net.waiting import connected, received
-from firwalk.observability.events import CloseReason, Event, EventLog
-from firwalk.observability.log import check_invariant, log_exception, log_external
+from firwalk.net.executor_connection import Call, ExecutorConnection
+from firwalk.net.executor_pool import MAX_ROUND_TRIP_S, ConnectionPool, DescriptorShortage
+from firwalk.observability.events import CloseReason, EventLog
+from firwalk.observability.log import check_invariant, log_external
 from firwalk.policy.interface import Outcome
 
-WAIT = 0.01  # seconds between looks for a free descriptor
-HOLD_TRIPS = 2.0  # times the shortest way to an executor and back that a last byte is held back
-HOLD_LEAST = 0.004  # seconds of it at least
-HOLD_MOST = 0.02  # and at most
-MOST_HELD = 0.1  # seconds from an assignment's first byte to its last: the time told in it is as old
-NEW_LINKS = 2  # new connections that may break under one assignment before it counts as out of reach
-DEAD_MEMORY = 30.0  # seconds for which dead connections tell how long one can be relied on
-DEAD_MOST = 16  # of them that are looked at
-SHORT_LIFE = 1.0  # seconds: an executor that closes kept connections sooner is asked for its load on
-SHORT_MEMORY = 10.0  # those that are there only, for so long: each one opened for that would be wasted
-END_TIME = 2.0  # seconds from an answer's last line to its end
-MAY_PASS = (408, 425, 429)  # answers that blame the task, or the moment: another try may fare better
-MOST_SEEN = 8192  # bytes of an answer that has come, beyond which its task stays in this process
-IDLE_PART = 0.8  # of the time after which an executor closes an idle connection: ours ends before
-
-
-class NoDescriptor(Exception):
-    """None became free in the time that a connection may take."""
-
-
-class Link:
-    """One connection to an executor, and the exchange that it carries, if any."""
-
-    def __init__(self, pool: Executors, place: Endpoint, sock: socket.socket):
-        self.pool, self.place, self.sock, self.address = pool, place, sock, place.address
-        self.exchange: Exchange | Probe | None = None
-        self.writer: asyncio.Task | None = None  # while bytes are still to be written
-        self.idle_since, self.open, self.wrote_at = monotonic(), True, 0.0
-        self.idled = 0.0  # how long it stood idle before its exchange
-        self.at_last, self.broken = True, False  # the last byte is under way; it broke before that
-        self.seen = b""  # of the answer in hand
-        self.heir: Callable[[socket.socket], None] | None = None  # who gets it when its reader has let go
-        self.close_reason = CloseReason.PEER_LEFT  # until it is ended here
-        self.parser = http.Answers(self._began, self._line, self._ended)
-        self.reading = asyncio.get_running_loop().create_task(self._read())
-        self.reading.add_done_callback(self._closed)
-
-    def _began(self, status: int, headers: dict) -> None:
-        if self.exchange is None:
-            raise http.Malformed(400, "an answer to nothing")
-        self.pool.came(self.place, monotonic() - self.wrote_at)
-        self.exchange.began(status, headers)
-
-    def _line(self, line: bytes) -> None:
-        if self.exchange is not None:
-            self.exchange.line(line)
-
-    async def write(self, data: bytes, hold: float = 0.0, last: Callable[[], bool] | None = None) -> bool:
-        """Writes it, the last byte only if `last()` still wants it. OSError: it broke before that byte."""
-        loop, self.writer, self.at_last = asyncio.get_running_loop(), asyncio.current_task(), last is None
-        try:
-            if last is not None:
-                await loop.sock_sendall(self.sock, data[:-1])
-                await asyncio.sleep(hold)
-                if not last():
-                    return False
-                self.at_last, data = True, data[-1:]
-            self.wrote_at = monotonic()
-            await loop.sock_sendall(self.sock, data)
-        except asyncio.CancelledError:
-            if not self.broken:
-                raise
-            asyncio.current_task().uncancel()  # it was this connection's end, no call from outside
-            raise ConnectionResetError("it broke before the last byte") from None
-        except OSError:
-            self.pool.died(self)
-            self.exchange = None  # not even the last byte went out: whoever writes goes on from there
-            raise
-        finally:
-            self.writer = None
-        return True
-
-    def _ended(self, keep: bool) -> None:
-        exchange, self.exchange, self.seen = self.exchange, None, b""
-        # Answered before its last byte was written, the rest would run into the next message.
-        if keep and self.open and self.writer is None:
-            self.pool.give(self)
-        else:
-            self.close(CloseReason.LAST_ANSWER)
-        if exchange is not None:
-            exchange.whole()
-
-    async def _read(self) -> None:
-        buffer = self.pool.buffers.take()
-        view = memoryview(buffer)
-        try:
-            while count := await received(self.sock, buffer):
-                self.came(view[:count])
-        except OSError:
-            pass
-        except http.Malformed as problem:
-            log_external(f"executor {self.place.name}: {problem}")
-        except Exception as problem:
-            log_exception("reading from an executor", problem)
-        finally:
-            view.release()
-            self.pool.buffers.give(buffer)
-
-    def came(self, data: bytes | memoryview) -> None:
-        """What has come is kept: another process that goes on with it has to stand where this one stands."""
-        if len(self.seen) <= MOST_SEEN:
-            self.seen += data
-        self.parser.feed(data)
-
-    def _closed(self, _: asyncio.Task) -> None:
-        """Also where the reader was cancelled before it began: its own `finally` would not run then."""
-        by_itself, self.open = self.open, False
-        self.pool.events.record(Event.EXECUTOR_CLOSED, self.close_reason)
-        exchange, self.exchange = self.exchange, None
-        if self.heir is None:
-            self.sock.close()
-        else:
-            self.heir(self.sock)
-        self.pool.closed(self, by_itself and exchange is None)
-        # Once the last byte is under way, nobody can tell whether it went out.
-        self.broken = not self.at_last and bool(self.writer and exchange) and not exchange.done()
-        if self.writer is not None:
-            self.writer.cancel()
-        if exchange is not None and not exchange.done() and not exchange.status:
-            self.pool.died(self)
-        if exchange is not None and not self.broken:
-            exchange.broke()
-
-    def close(self, reason: CloseReason) -> None:
-        """The socket itself is closed by the reader, which the event loop must let go of it first."""
-        if self.open:
-            self.open, self.close_reason = False, reason
-        self.reading.cancel()
-
-    def fresh(self) -> bool:
-        """Whether the executor has not closed it: a task written to a closed one may pass for run."""
-        try:
-            self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-        except BlockingIOError:
-            return True
-        except OSError:
-            pass
-        return False
-
-
-class Exchange:
-    """What an executor answers to one assignment, as lines of a stream; reports its one outcome."""
-
-    def __init__(self, pool: Executors, pending: PendingRequest, number: int, name: bytes):
-        self.pool, self.dispatcher, self.pending, self.number, self.name = (
-            pool,
-            pool.dispatcher,
-            pending,
-            number,
-            name,
-        )
-        self.status, self.headers, self.over, self.over_at = 0, {}, False, 0.0
-        self.link: Link | None = None
-
-    def done(self) -> bool:
-        return self.over
-
-    def end(self, how: Outcome, load: dict | None = None, result: bytes = b"") -> None:
-        if not self.over:
-            self.over, self.over_at = True, monotonic()
-            self.pool.carried.pop((self.pending, self.number), None)
-            self.dispatcher.report_outcome(self.pending, self.number, how, load, result)
-
-    def began(self, status: int, headers: dict) -> None:
-        self.status, self.headers = status, headers
+HOLD_ROUND_TRIPS = 2.0  # shortest round trips for which the last byte is held back
+MIN_HOLD_S = 0.004
+MAX_HOLD_S = MAX_ROUND_TRIP_S
+MAX_WRITE_S = 0.1  # from the first byte to the last: the message states the time left at the first
+MAX_NEW_CONNECTIONS = 2  # that may break under one attempt before its executor counts as unreachable
+RESPONSE_END_TIMEOUT_S = 2.0  # from the outcome of an attempt to the end of its response
+INCONCLUSIVE_STATUSES = (408, 425, 429)  # blame the request, or the moment: a retry may succeed
+
+Json = Any  # what JSON text was read to, not checked yet
+
+
+class AttemptCall(Call):
+    """One attempt of a request at an executor: reads the lines of the response, reports one outcome."""
+
+    def __init__(self, owner: Executors, pending: PendingRequest, number: int, request_id: bytes) -> None:
+        self.owner = owner
+        self.dispatcher = owner.dispatcher
+        self.pending = pending
+        self.number = number
+        self.request_id = request_id
+        self.status = 0
+        self.headers: dict[bytes, bytes] = {}
+        self.has_ended = False
+        self.ended_at = 0.0
+        self.connection: ExecutorConnection | None = None
+        self.sending: asyncio.Task[None] | None = None  # none for one that another process has sent
+
+    def is_done(self) -> bool:
+        """Whether its outcome is known, or nobody waits for it any more."""
+        return self.has_ended
+
+    def end(self, outcome: Outcome, load: Json = None, result: bytes = b"") -> None:
+        """Reports the outcome; the first one counts."""
+        if not self.has_ended:
+            self.has_ended = True
+            self.ended_at = monotonic()
+            self.owner.attempts.pop((self.pending, self.number), None)
+            self.dispatcher.report_outcome(self.pending, self.number, outcome, load, result)
+
+    def begin_response(self, status: int, headers: dict[bytes, bytes]) -> None:
+        """The head of the response has come."""
+        self.status = status
+        self.headers = headers
 
-    def line(self, line: bytes) -> None:
-        if self.status != 200 or self.over:
+    def receive_line(self, line: bytes) -> None:
+        """Reports what a line of the response states; raises http.Malformed if it states nothing."""
+        if self.status != 200 or self.has_ended:
             return
-        try:
-            news = orjson.loads(line)
-            state, own = news["state"], news["id"].encode() == self.name
-        except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError):
-            own = False
-        if not own:
-            raise http.Malformed(400, "a line that tells nothing of its task")
+        update = self._read_update(line)
+        state = update["state"]
         if state == "started":
             self.dispatcher.report_started(self.pending, self.number)
         elif state == "running":
-            share = news.get("share")
+            share = update.get("share")
             if isinstance(share, int | float):
                 self.dispatcher.report_progress(self.pending, self.number, float(share))
         elif state == "done":
-            self.end(Outcome.COMPLETED, news.get("load"), _result(news))
+            self.end(Outcome.COMPLETED, update.get("load"), _read_result(update))
         elif state == "failed":
-            self.end(Outcome.ERROR, news.get("load"))
+            self.end(Outcome.ERROR, update.get("load"))
         elif state == "returned":
-            self.end(Outcome.AT_CAPACITY, news.get("load"))
+            self.end(Outcome.AT_CAPACITY, update.get("load"))
         elif state == "lost":
-            self.end(Outcome.CONNECTION_LOST, news.get("load"))
+            self.end(Outcome.CONNECTION_LOST, update.get("load"))
 
-    def whole(self) -> None:
-        """The answer's end: without a last line it says nothing of whether the task has run."""
-        load = _load(self.headers.get(b"x-load"))
+    def _read_update(self, line: bytes) -> Json:
+        try:
+            update = orjson.loads(line)
+            if update["id"].encode() == self.request_id and "state" in update:
+                return update
+        except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError):
+            pass
+        raise http.Malformed(400, "a line that tells nothing of its task")
+
+    def complete_response(self) -> None:
+        """Without a last line, the end of a response says nothing of whether the request has run."""
+        load = _read_load(self.headers.get(b"x-load"))
         if self.status in (503, 504) and self.headers.get(b"x-not-run") == b"1":
             self.end(Outcome.AT_CAPACITY, load)
         elif self.status == 200:
             self.end(Outcome.CONNECTION_LOST, load)
-        elif 400 <= self.status < 500 and self.status not in MAY_PASS:
+        elif 400 <= self.status < 500 and self.status not in INCONCLUSIVE_STATUSES:
             self.end(Outcome.INVALID, load)
         else:
             self.end(Outcome.ERROR, load)
 
-    def broke(self) -> None:
+    def lose_connection(self) -> None:
+        """The request may have run."""
         self.end(Outcome.CONNECTION_LOST)
 
 
-class Probe:
-    """A question for the load report; reports what came once."""
+class HealthCheckCall(Call):
+    """Asks an executor for its load report; reports one outcome."""
 
-    def __init__(self, dispatcher: Dispatcher, place: Endpoint, kept: bool):
-        self.dispatcher, self.place, self.began_at, self.kept = dispatcher, place, monotonic(), kept
-        self.status, self.text = 0, b""
-        self.over = asyncio.get_running_loop().create_future()
+    def __init__(self, dispatcher: Dispatcher, endpoint: Endpoint, is_on_kept_connection: bool) -> None:
+        self.dispatcher = dispatcher
+        self.endpoint = endpoint
+        self.is_on_kept_connection = is_on_kept_connection
+        self.began_at = monotonic()
+        self.status = 0
+        self.load_report = b""
+        self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def done(self) -> bool:
-        return self.over.done()
+    def is_done(self) -> bool:
+        """Whether its outcome is known."""
+        return self.done.done()
 
-    def end(self, how: Outcome, load: dict | None = None) -> None:
-        if not self.over.done():
-            self.over.set_result(None)
-            self.dispatcher.report_probe(self.place, how, monotonic() - self.began_at, load)
+    def end(self, outcome: Outcome, load: Json = None) -> None:
+        """Reports the outcome; the first one counts."""
+        if not self.done.done():
+            self.done.set_result(None)
+            self.dispatcher.report_probe(self.endpoint, outcome, monotonic() - self.began_at, load)
 
-    def began(self, status: int, headers: dict) -> None:
+    def begin_response(self, status: int, headers: dict[bytes, bytes]) -> None:
+        """The head of the response has come."""
         self.status = status
 
-    def line(self, line: bytes) -> None:
-        self.text += line
+    def receive_line(self, line: bytes) -> None:
+        """A line of the load report has come."""
+        self.load_report += line
 
-    def whole(self) -> None:
-        self.end(Outcome.COMPLETED if self.status == 200 else Outcome.AT_CAPACITY, _load(self.text))
+    def complete_response(self) -> None:
+        """Reports the load."""
+        outcome = Outcome.COMPLETED if self.status == 200 else Outcome.AT_CAPACITY
+        self.end(outcome, _read_load(self.load_report))
 
-    def broke(self) -> None:
-        """A kept connection that ends unanswered shows its own age only: taken for signs of silence, two of
-        these would set a good executor aside."""
-        if not self.kept or self.status:
+    def lose_connection(self) -> None:
+        """Reports nothing for a kept connection that ends unanswered, which shows its own age only.
+
+        Taken for signs of silence, two of these would eject a good executor.
+        """
+        if not self.is_on_kept_connection or self.status:
             self.end(Outcome.CONNECTION_LOST)
-        elif not self.over.done():
-            self.over.set_result(None)
+        elif not self.done.done():
+            self.done.set_result(None)
 
 
-def _result(last_line: dict) -> bytes:
-    """For the client. Malformed: there is none, and one of our own making would be no executor's."""
+def _read_result(last_line: Json) -> bytes:
+    """The result for the client; raises http.Malformed: one made up here would be no executor's."""
     result = last_line.get("result")
     if result is None:
         raise http.Malformed(400, "a last line without a result")
@@ -278,7 +174,8 @@
         raise http.Malformed(400, f"a result that cannot be written: {problem}") from problem
 
 
-def _load(text: bytes | None) -> dict | None:
+def _read_load(text: bytes | None) -> Json:
+    """A load report, not checked yet; None if there is none."""
     try:
         return orjson.loads(text) if text else None
     except orjson.JSONDecodeError:
@@ -286,291 +183,195 @@
 
 
 class Executors:
-    """All connections to executors."""
+    """Sends attempts and health checks to executors."""
 
     def __init__(
         self,
         dispatcher: Dispatcher,
         budget: Budget,
         buffers: Buffers,
-        connect_time: float,
-        idle_time: float,
+        connect_timeout_s: float,
+        idle_timeout_s: float,
         events: EventLog | None = None,
-    ):
-        self.events = events or EventLog()
-        self.dispatcher, self.budget, self.buffers = dispatcher, budget, buffers
-        self.connect_time, self.idle_time = connect_time, idle_time * IDLE_PART
-        self.links: dict[Link, None] = {}
-        self.idle: dict[Endpoint, list[Link]] = {}
-        self.probes: dict[Endpoint, asyncio.Task] = {}
-        self.carried: dict[tuple[PendingRequest, int], tuple] = {}
-        self.trips: dict[Endpoint, float] = {}  # the shortest times to it and back
-        self.short_at: dict[Endpoint, float] = {}  # when a kept connection ended early last
-        self.dead: deque[tuple[float, float]] = deque(maxlen=DEAD_MOST)  # when, and how long idle
-        budget.shed_link = self.shed
-
-    # -- the pool ----------------------------------------------------------------------------------------
-
-    def give(self, link: Link) -> None:
-        if (
-            not link.open
-            or link.address != link.place.address
-            or not self.dispatcher.keeps_connections_to(link.place)
-        ):
-            link.close(CloseReason.EXECUTOR_GONE)  # moved: at its old address may be another one
-            return
-        link.idle_since = monotonic()
-        self.idle.setdefault(link.place, []).append(link)
-        self.dispatcher.report_idle(link.place, len(self.idle[link.place]))
-
-    def closed(self, link: Link, by_itself: bool) -> None:
-        self.budget.close_link()
-        del self.links[link]
-        idle = self.idle.get(link.place, [])
-        if link in idle:
-            idle.remove(link)
-            self.dispatcher.report_idle(link.place, len(idle))
-            if by_itself and monotonic() - link.idle_since < SHORT_LIFE:
-                self.short_at[link.place] = monotonic()
-
-    def hand_over(self, heir: Callable[[dict, socket.socket], None]) -> None:
-        """Another process of this node goes on with what is idle; should an executor close one meanwhile, it
-        sees that end as this one would."""
-        for place, links in self.idle.items():
-            for link in links:
-                about = {"link": place.name, "idle_since": link.idle_since, "trip": self.trips.get(place)}
-                link.heir = lambda sock, about=about: heir(about, sock)
-                link.close(CloseReason.HANDED_OVER)
-            self.dispatcher.report_idle(place, 0)
-        self.idle.clear()
-
-    def adopt(self, place: Endpoint, sock: socket.socket, idle_since: float, trip: float | None) -> None:
-        """A connection that another process of this node had: counted there until now, it fits."""
-        sock.setblocking(False)
-        self.budget.adopt_link()
-        link = Link(self, place, sock)
-        self.links[link] = None
-        link.address = sock.getpeername()[:2]  # it may be of an executor that has moved
-        if trip is not None:
-            self.came(place, trip)
-        self.give(link)
-        link.idle_since = min(idle_since, link.idle_since)
-
-    def came(self, place: Endpoint, took: float) -> None:
-        self.trips[place] = min(took, self.trips.get(place, HOLD_MOST))
-
-    def close_idle(self, place: Endpoint) -> None:
-        for link in self.idle.pop(place, []):
-            link.close(CloseReason.EXECUTOR_GONE)
-        self.dispatcher.report_idle(place, 0)
-
-    def shed(self) -> bool:
-        """Closes the connection that has been idle longest."""
-        links = [idle[0] for idle in self.idle.values() if idle]
-        if not links:
-            return False
-        oldest = min(links, key=lambda link: link.idle_since)
-        self.idle[oldest.place].remove(oldest)
-        oldest.close(CloseReason.EVICTED)
-        return True
+    ) -> None:
+        self.dispatcher = dispatcher
+        self.pool = ConnectionPool(dispatcher, budget, buffers, connect_timeout_s, idle_timeout_s, events)
+        self.attempts: dict[tuple[PendingRequest, int], AttemptCall] = {}  # without an outcome, by number
+        self.health_checks: dict[Endpoint, asyncio.Task[None]] = {}
+
+    def close_idle(self, endpoint: Endpoint) -> None:
+        """Closes the connections to an executor that carry no call."""
+        self.pool.close_idle(endpoint)
 
     def sweep(self) -> None:
-        """An executor closes what stands idle: a task written just then would break off."""
-        old = monotonic() - self.idle_time
-        for links in self.idle.values():
-            while links and links[0].idle_since < old:
-                links.pop(0).close(CloseReason.IDLE)
-        for link in list(self.links):  # an answer that has said its last line and does not end
-            if isinstance(link.exchange, Exchange) and link.exchange.over:
-                if link.exchange.over_at < monotonic() - END_TIME:
-                    link.close(CloseReason.NO_ANSWER)
-
-    def died(self, link: Link) -> None:
-        """A kept connection ended unanswered."""
-        if link.idled:
-            self.dead.append((monotonic(), link.idled))
-
-    def _life(self) -> float:
-        """Seconds for which a kept connection can be relied on, by those that were dead when used lately. One
-        alone may have been an executor's end."""
-        ages = [idled for when, idled in self.dead if when > monotonic() - DEAD_MEMORY]
-        return min(ages) if len(ages) > 1 else self.idle_time
-
-    def _taken(self, place: Endpoint, once: bool = False) -> Link | None:
-        """The kept connection used last, if there is one. What can be sent `once` only is not risked on one
-        that may be dead; the others stay for what can be repeated."""
-        links, now = self.idle.get(place, []), monotonic()
-        if once and links and now - links[-1].idle_since >= self._life():
-            return None
-        while links:
-            link = links.pop()
-            link.idled = now - link.idle_since
-            if link.open and link.fresh() and link.idled < self.idle_time:
-                self.dispatcher.report_idle(place, len(links))
-                return link
-            link.close(CloseReason.UNRELIABLE)
-        self.dispatcher.report_idle(place, 0)
-        return None
+        """Closes connections that have been idle for too long, or whose responses do not end."""
+        self.pool.close_expired()
+        for connection in list(self.pool.connections):
+            call = connection.call
+            if isinstance(call, AttemptCall) and call.has_ended:
+                if call.ended_at < monotonic() - RESPONSE_END_TIMEOUT_S:
+                    connection.close(CloseReason.NO_ANSWER)
 
-    async def _opened(self, place: Endpoint) -> Link:
-        sock, began = None, monotonic()
-        try:
-            sock = new_socket(place.address)
-            async with asyncio.timeout(self.connect_time):
-                await connected(sock, place.address)
-        except BaseException:
-            if sock is not None:
-                sock.close()
-            self.budget.close_link()
-            raise
-        self.came(place, monotonic() - began)
-        link = Link(self, place, sock)
-        self.links[link] = None
-        return link
-
-    # -- assignments ---------------------------------------------------------------------------------------
-
-    def carry(
+    # -- attempts ----------------------------------------------------------------------------------------
+
+    def send_attempt(
         self,
         pending: PendingRequest,
         number: int,
-        place: Endpoint,
-        name: bytes,
-        message: Callable,
-        once: bool = False,
+        endpoint: Endpoint,
+        request_id: bytes,
+        make_message: Callable[[], bytes],
+        is_non_idempotent: bool = False,
+    ) -> None:
+        """Starts an attempt; `make_message()` gives its bytes when they are to be written."""
+        call = AttemptCall(self, pending, number, request_id)
+        call.sending = asyncio.get_running_loop().create_task(
+            self._send(call, endpoint, make_message, is_non_idempotent)
+        )
+        self.attempts[pending, number] = call
+
+    async def _send(
+        self,
+        call: AttemptCall,
+        endpoint: Endpoint,
+        make_message: Callable[[], bytes],
+        is_non_idempotent: bool,
     ) -> None:
-        """Starts an assignment; `message()` gives its bytes when they are to be written."""
-        exchange = Exchange(self, pending, number, name)
-        work = asyncio.get_running_loop().create_task(self._carry(exchange, place, message, once))
-        self.carried[pending, number] = exchange, work
-
-    async def _carry(self, exchange: Exchange, place: Endpoint, message: Callable, once: bool) -> None:
-        link, new = self._taken(place, once), 0
-        while not exchange.over:
+        connection = self.pool.take(endpoint, is_non_idempotent)
+        new_connections = 0
+        while not call.has_ended:
             try:
-                if link is None:
-                    new += 1
-                    link = await self._free(place) or await self._opened(place)
-                await self._write(exchange, link, message)
+                if connection is None:
+                    new_connections += 1
+                    connection = await self.pool.connect(endpoint)
+                await self._write(call, connection, make_message)
                 return
-            except NoDescriptor:
+            except DescriptorShortage:
                 log_external("no descriptor is left for an executor: an assignment is not sent")
-                exchange.end(Outcome.NOT_SENT)
-            except OSError as problem:  # a time-out is one too
-                # The next kept connection may be as dead as this one: a new one proves more, and a second one
-                # that it was not by chance.
-                if new >= NEW_LINKS or isinstance(problem, TimeoutError):
-                    exchange.end(Outcome.CONNECT_FAILED)
-                if link is not None:
-                    link.close(CloseReason.PEER_LEFT)
-                link = None
-
-    async def _write(self, exchange: Exchange, link: Link, message: Callable) -> None:
-        if not self.dispatcher.report_sending(exchange.pending, exchange.number):
-            self.give(link)
-            exchange.end(Outcome.NOT_SENT)
+                call.end(Outcome.NOT_SENT)
+            except OSError as problem:
+                # The next kept connection may be as dead as this one: a new one proves more, and a second
+                # new one that the first did not break by chance.
+                if new_connections >= MAX_NEW_CONNECTIONS or isinstance(problem, TimeoutError):
+                    call.end(Outcome.CONNECT_FAILED)
+                if connection is not None:
+                    connection.close(CloseReason.PEER_LEFT)
+                connection = None
+
+    async def _write(
+        self, call: AttemptCall, connection: ExecutorConnection, make_message: Callable[[], bytes]
+    ) -> None:
+        if not self.dispatcher.report_sending(call.pending, call.number):
+            self.pool.put_back(connection)
+            call.end(Outcome.NOT_SENT)
             return
-        check_invariant(link.exchange is None, "a connection carries one thing at a time")
-        link.exchange, exchange.link = exchange, link
-        hold = max(HOLD_TRIPS * self.trips.get(link.place, HOLD_MOST), HOLD_LEAST)
-        began = monotonic()
-
-        def last() -> bool:
-            """Not if the rest was long in writing: the message tells what was left before that."""
-            held = monotonic() - began
-            return held < MOST_HELD and self.dispatcher.report_committing(exchange.pending, exchange.number)
-
-        if not await link.write(message(), min(hold, HOLD_MOST), last):
-            exchange.end(Outcome.NOT_SENT)
-            link.close(CloseReason.NOT_SENT)
-
-    async def _free(self, place: Endpoint) -> Link | None:
-        """Waits for a descriptor, or a connection that becomes free meanwhile. Ended at once for lack of one,
-        a task would spend all its assignments in a moment."""
-        end = monotonic() + self.connect_time
-        while not self.budget.open_link():
-            if monotonic() > end:
-                raise NoDescriptor
-            await asyncio.sleep(WAIT)
-            link = self._taken(place)
-            if link is not None:
-                return link
-        return None
+        check_invariant(connection.call is None, "a connection carries one thing at a time")
+        connection.call = call
+        call.connection = connection
+        round_trip_s = self.pool.round_trips_s.get(connection.endpoint, MAX_ROUND_TRIP_S)
+        hold_s = min(max(HOLD_ROUND_TRIPS * round_trip_s, MIN_HOLD_S), MAX_HOLD_S)
+        began_at = monotonic()
+
+        def commit() -> bool:
+            write_s = monotonic() - began_at
+            return write_s < MAX_WRITE_S and self.dispatcher.report_committing(call.pending, call.number)
+
+        if not await connection.write(make_message(), hold_s, commit):
+            call.end(Outcome.NOT_SENT)
+            connection.close(CloseReason.NOT_SENT)
+
+    def cancel_attempt(self, pending: PendingRequest, number: int) -> None:
+        """Cancels an attempt, whose outcome is known; its executor learns of it by the connection's end."""
+        call = self.attempts.pop((pending, number), None)
+        if call is None:
+            return
+        call.has_ended = True
+        if call.sending is not None:
+            call.sending.cancel()
+        if call.connection is not None and call.connection.call is call:
+            call.connection.close(CloseReason.CANCELLED)
+
+    # -- health checks -----------------------------------------------------------------------------------
+
+    def check_health(self, endpoint: Endpoint, timeout_s: float) -> None:
+        """Starts a health check, unless one is in flight: it may wait at the executor like a request."""
+        if endpoint not in self.health_checks:
+            task = asyncio.get_running_loop().create_task(self._check_health(endpoint, timeout_s))
+            self.health_checks[endpoint] = task
+            task.add_done_callback(lambda _: self.health_checks.pop(endpoint, None))
+
+    async def _check_health(self, endpoint: Endpoint, timeout_s: float) -> None:
+        connection = self.pool.take(endpoint)
+        call = HealthCheckCall(self.dispatcher, endpoint, connection is not None)
+        if connection is None:
+            if not self.pool.reserve_for_health_check(endpoint):
+                return
+            try:
+                connection = await self.pool.open(endpoint)
+            except OSError:
+                call.end(Outcome.CONNECT_FAILED)
+                return
+        connection.call = call
+        try:
+            async with asyncio.timeout(timeout_s):
+                await connection.write(http.ask(b"GET", b"/_load", [host_header(endpoint.address)]))
+                await call.done
+        except TimeoutError:
+            call.end(Outcome.TIMED_OUT)
+            connection.close(CloseReason.NO_ANSWER)
+            # A machine that is cut off leaves all its connections silent. What is written to one of them may
+            # count as having run, while a new one that does not come up proves that nothing ran.
+            self.pool.close_idle(endpoint)
+        except OSError:
+            call.lose_connection()
+            connection.close(CloseReason.PEER_LEFT)
+
+    # -- hot restart -------------------------------------------------------------------------------------
+
+    def hand_over_idle(self, send: Callable[[str, float, float | None, socket.socket], None]) -> None:
+        """Gives all idle connections to another process: `send(executor, idle_since, round_trip_s, sock)`."""
+        self.pool.hand_over_idle(send)
 
-    def call_off(self, pending: PendingRequest, number: int) -> None:
-        """Its outcome is known to the decisions already; the executor learns by the connection's end."""
-        exchange, work = self.carried.pop((pending, number), (None, None))
-        if exchange is not None:
-            exchange.over = True
-            work.cancel()
-            if exchange.link is not None and exchange.link.exchange is exchange:
-                exchange.link.close(CloseReason.CANCELLED)
-
-    # -- assignments that go over to another process of this node ----------------------------------------
-
-    def carrying(self, pending: PendingRequest, number: int) -> Link | None:
-        """The connection of an assignment that can go over: all of it is written."""
-        exchange, _ = self.carried.get((pending, number), (None, None))
-        link = exchange.link if exchange is not None else None
-        if link is None or link.exchange is not exchange or not link.open:
+    def adopt_idle(
+        self, endpoint: Endpoint, sock: socket.socket, idle_since: float, round_trip_s: float | None
+    ) -> None:
+        """Takes an idle connection of another process; raises OSError if it has ended."""
+        self.pool.adopt_idle(endpoint, sock, idle_since, round_trip_s)
+
+    def transferable_connection(self, pending: PendingRequest, number: int) -> ExecutorConnection | None:
+        """The connection of an attempt that another process can continue: its message is written."""
+        call = self.attempts.get((pending, number))
+        connection = call.connection if call is not None else None
+        if connection is None or connection.call is not call or not connection.is_open:
             return None
-        return link if link.writer is None and len(link.seen) <= MOST_SEEN else None
+        return connection if connection.can_be_transferred() else None
 
-    def let_go(self, pending: PendingRequest, number: int) -> None:
-        """Another process has it, with a descriptor of its own: ours is closed, and nothing is reported."""
-        exchange, _ = self.carried.pop((pending, number))
-        exchange.over, exchange.link.exchange = True, None
-        exchange.link.close(CloseReason.HANDED_OVER)
+    def release_attempt(self, pending: PendingRequest, number: int) -> None:
+        """Another process has the attempt, with a descriptor of its own: ours is closed, nothing reported."""
+        call = self.attempts.pop((pending, number))
+        call.has_ended = True
+        connection = cast(ExecutorConnection, call.connection)
+        connection.call = None
+        connection.close(CloseReason.HANDED_OVER)
 
-    def resume(
-        self, pending: PendingRequest, number: int, sock: socket.socket, name: bytes, seen: bytes
+    def resume_attempt(
+        self,
+        pending: PendingRequest,
+        number: int,
+        sock: socket.socket,
+        request_id: bytes,
+        response_bytes: bytes,
     ) -> None:
-        """An assignment that another process sent goes on here, behind what has come of its answer."""
-        place, exchange = pending.request.attempts[number].executor.ref, Exchange(self, pending, number, name)
-        sock.setblocking(False)
-        self.budget.adopt_link()
-        link = Link(self, place, sock)
-        link.exchange, exchange.link, self.links[link] = exchange, link, None
-        self.carried[pending, number] = exchange, asyncio.get_running_loop().create_future()
+        """Continues an attempt that another process sent, after what has come of its response."""
+        endpoint = cast(Endpoint, pending.request.attempts[number].executor.ref)
+        call = AttemptCall(self, pending, number, request_id)
+        connection = self.pool.adopt(endpoint, sock)
+        connection.call = call
+        call.connection = connection
+        self.attempts[pending, number] = call
         try:
-            link.address = sock.getpeername()[:2]
+            connection.address = sock.getpeername()[:2]
         except OSError:
             pass  # it has broken on the way: its reader sees that
-        if seen:
-            link.came(seen)
-
-    # -- probes ------------------------------------------------------------------------------------------
-
-    def probe(self, place: Endpoint, limit: float) -> None:
-        """One at a time to each executor: it may wait there like a task."""
-        if place not in self.probes:
-            work = asyncio.get_running_loop().create_task(self._probe(place, limit))
-            self.probes[place] = work
-            work.add_done_callback(lambda _: self.probes.pop(place, None))
-
-    async def _probe(self, place: Endpoint, limit: float) -> None:
-        link = self._taken(place)
-        probe = Probe(self.dispatcher, place, link is not None)
-        if link is None:
-            short = self.short_at.get(place, 0.0) > monotonic() - SHORT_MEMORY
-            if short or not self.budget.open_link(probe=True):
-                return
-            try:
-                link = await self._opened(place)
-            except (OSError, TimeoutError):
-                probe.end(Outcome.CONNECT_FAILED)
-                return
-        link.exchange = probe
-        try:
-            async with asyncio.timeout(limit):
-                await link.write(http.ask(b"GET", b"/_load", [host_header(place.address)]))
-                await probe.over
-        except TimeoutError:
-            probe.end(Outcome.TIMED_OUT)
-            link.close(CloseReason.NO_ANSWER)
-            # A machine that is cut off leaves all its connections silent. What is written to one of them may
-            # pass for run, while a new one that does not come up proves that nothing ran.
-            self.close_idle(place)
-        except OSError:
-            probe.broke()
-            link.close(CloseReason.PEER_LEFT)
+        if response_bytes:
+            connection.receive(memoryview(response_bytes))
--- a/firwalk/net/restart_predecessor.py
+++ b/firwalk/net/restart_predecessor.py
@@ -19,12 +19,12 @@
     DescriptorsHeld,
     EndpointListState,
     Hello,
+    IdleConnectionHandover,
     ListenerReleased,
     NodeState,
     Refusal,
     RequestHandover,
     TakeOver,
-    WireObject,
     decode,
 )
 from firwalk.observability.events import CloseReason
@@ -133,10 +133,13 @@
         for client in list(clients.open):
             clients.move(client)
 
-        def hand_over_idle_connection(wire: WireObject, sock: socket.socket) -> None:
-            channel.send(wire, sock, give=True)
+        def hand_over_idle_connection(
+            executor: str, idle_since: float, round_trip_s: float | None, sock: socket.socket
+        ) -> None:
+            message = IdleConnectionHandover(executor, idle_since, round_trip_s)
+            channel.send(message.to_wire(), sock, give=True)
 
-        self.context.service.executors.hand_over(hand_over_idle_connection)
+        self.context.service.executors.hand_over_idle(hand_over_idle_connection)
         self._report_descriptors(channel)
 
     def _hand_over_request(self, channel: ControlChannel, client: Client) -> None:
@@ -148,13 +151,15 @@
         request = export_request(self.context.dispatcher, pending)
         if request is None or not channel.is_open:
             return
-        connection = executors.carrying(pending, request.attempt_in_flight)
+        connection = executors.transferable_connection(pending, request.attempt_in_flight)
         if connection is None:
             return
-        message = RequestHandover(request, monotonic(), ClientRequest(*client.message), connection.seen)
+        message = RequestHandover(
+            request, monotonic(), ClientRequest(*client.message), connection.response_bytes
+        )
         channel.send(message.to_wire(), client.sock, connection.sock)
         self.handed_over_requests += 1
-        executors.let_go(pending, request.attempt_in_flight)
+        executors.release_attempt(pending, request.attempt_in_flight)
         client.pending = None
         client.busy = False
         self.context.dispatcher.report_handed_over(pending)
--- a/firwalk/net/restart_successor.py
+++ b/firwalk/net/restart_successor.py
@@ -195,7 +195,7 @@
             sock.close()
             return
         try:
-            self.context.service.executors.adopt(
+            self.context.service.executors.adopt_idle(
                 cast("Endpoint", executor.ref), sock, message.idle_since, message.round_trip_s
             )
         except OSError:  # the executor closed it on the way
@@ -212,6 +212,6 @@
             self.context.dispatcher, message.request, elapsed_s, request_id.decode(TEXT_ENCODING)
         )
         service.clients.resume(client_socket, pending, message.client_request)
-        service.executors.resume(
+        service.executors.resume_attempt(
             pending, message.request.attempt_in_flight, executor_socket, request_id, message.response_bytes
         )
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -135,7 +135,7 @@
         match action:
             case CheckHealth():
                 if not self.succession.handed:  # the process that takes the requests checks for them
-                    self.executors.probe(action.endpoint, action.timeout_s)
+                    self.executors.check_health(action.endpoint, action.timeout_s)
             case CloseIdleConnections():
                 self.executors.close_idle(action.endpoint)
             case WatchEndpoints():
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -134,7 +134,7 @@
             keeps_connections_to=lambda place: True,
         )
         pool = executors.Executors(dispatcher, Budget(64, 10**8), Buffers(), 1.0, 60.0)
-        pool.probe(place, 5.0)
+        pool.check_health(place, 5.0)
         sock, _ = await loop.sock_accept(listener)
         port = place.address[1]
         assert await read_some(sock, lambda data: data.endswith(b"\r\n\r\n")) == (
@@ -198,10 +198,12 @@
         report_progress=lambda pending, number, share: told.append(share),
         report_outcome=lambda pending, number, how, load, result: told.append((how, load, result)),
     )
-    exchange = executors.Exchange(
-        SimpleNamespace(dispatcher=dispatcher, carried={}), PendingRequest(), 0, b"r1"
+    exchange = executors.AttemptCall(
+        SimpleNamespace(dispatcher=dispatcher, attempts={}), PendingRequest(), 0, b"r1"
+    )
+    parser = http.Answers(
+        exchange.begin_response, exchange.receive_line, lambda keep: exchange.complete_response()
     )
-    parser = http.Answers(exchange.began, exchange.line, lambda keep: exchange.whole())
     parser.feed(memoryview(answer))
     assert told == reports
 
@@ -276,7 +278,7 @@
             if how is not None:
                 dispatcher.report_outcome(pending, number, how, None, b"made")
 
-        carrier = SimpleNamespace(carry=carry, call_off=lambda pending, number: None)
+        carrier = SimpleNamespace(send_attempt=carry, cancel_attempt=lambda pending, number: None)
         door = clients.Clients(dispatcher, carrier, Budget(64, 10**8), Buffers(), dispatcher.monitor)
         ours, theirs = socket.socketpair()
         assert door.admit(ours)
--- a/tests/golden/test_golden_processes.py
+++ b/tests/golden/test_golden_processes.py
@@ -119,7 +119,10 @@
         shared=lambda: [],
         clients=SimpleNamespace(moving=None, ending=False),
         told_to_stop=lambda: False,
-        executors=SimpleNamespace(carrying=lambda pending, number: link, let_go=lambda pending, number: None),
+        executors=SimpleNamespace(
+            transferable_connection=lambda pending, number: link,
+            release_attempt=lambda pending, number: None,
+        ),
     )
     return hot_restart.HotRestart(service)
 
@@ -168,7 +171,7 @@
             close=lambda reason: None,
         )
         new_succession(
-            dispatcher, SimpleNamespace(seen=b"HTTP/1.1 200", sock=links_own)
+            dispatcher, SimpleNamespace(response_bytes=b"HTTP/1.1 200", sock=links_own)
         ).as_predecessor._hand_over_request(line, client)
         data = await read_lines(theirs, 1)
         line.close()
@@ -264,7 +267,7 @@
     process.service.clients = SimpleNamespace(
         resume=lambda sock, pending, message: heard.append((sock, pending.request.deadline, message))
     )
-    process.service.executors.resume = lambda pending, number, sock, name, seen: heard.append(
+    process.service.executors.resume_attempt = lambda pending, number, sock, name, seen: heard.append(
         (sock, number, name, seen)
     )
     about = orjson.loads(MOVED)
@@ -392,7 +395,7 @@
     """An idle connection goes over with its executor, since when it is idle, and its shortest way."""
     heard = []
     process = new_succession(new_desk(Clock(1000.0)))
-    process.service.executors.adopt = lambda place, sock, since, trip: heard.append(
+    process.service.executors.adopt_idle = lambda place, sock, since, trip: heard.append(
         (place.name, sock, since, trip)
     )
     message = restart_messages.decode(orjson.loads(b'{"link":"e1","idle_since":12.5,"trip":null,"files":1}'))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -337,7 +337,7 @@
         server = await asyncio.start_server(slow, "127.0.0.1", 0)
         size = 3 * 10**7
         place = Endpoint("e0", parse(address_of(server)))
-        pool.carry(PendingRequest(), 0, place, b"t1", lambda: b"x" * size)
+        pool.send_attempt(PendingRequest(), 0, place, b"t1", lambda: b"x" * size)
         await begun.wait()
         for _ in range(300):
             if ends:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -24,7 +24,9 @@
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import SETTLED, Clients
 from firwalk.net.discovery import CALL_TIME
-from firwalk.net.executors import Exchange, Executors, Link
+from firwalk.net.executor_connection import ExecutorConnection
+from firwalk.net.executor_pool import ConnectionPool, DeadConnection
+from firwalk.net.executors import AttemptCall, Executors
 from firwalk.net.service import Service
 from firwalk.net.turns import Turns
 from firwalk.net.waiting import connected
@@ -283,18 +285,19 @@
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         ends, place = [], Endpoint("e0", ("127.0.0.1", 1))
-        pool = Executors(dispatcher(ends), Budget(64, 10**8), Buffers(), 0.25, 60.0)
+        executors = Executors(dispatcher(ends), Budget(64, 10**8), Buffers(), 0.25, 60.0)
+        pool = executors.pool
         pool.budget.open_link()
-        link = Link(pool, place, ours)
-        pool.links[link] = None
-        link.exchange = Exchange(pool, PendingRequest(), 0, b"t1")
+        link = ExecutorConnection(pool, place, ours)
+        pool.connections[link] = None
+        link.call = AttemptCall(executors, PendingRequest(), 0, b"t1")
         writing = asyncio.create_task(link.write(b"x" * 10**7, 0.0, lambda: True))
         await asyncio.sleep(0.05)
         if comes:
             theirs.send(comes)
         else:
             theirs.close()
-        await asyncio.wait([link.reading, writing], timeout=2)
+        await asyncio.wait([link.reader, writing], timeout=2)
         assert ends == how and not pool.idle and pool.budget.links == 0 and ours.fileno() == -1
         assert writing.cancelled() if comes else isinstance(writing.exception(), ConnectionError)
 
@@ -323,11 +326,12 @@
     async def run():
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        pool = Executors(dispatcher([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
+        executors = Executors(dispatcher([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
+        pool = executors.pool
         pool.budget.open_link()
-        link, asked = Link(pool, Endpoint("e0", ("127.0.0.1", 1)), ours), []
-        pool.links[link] = None
-        link.exchange = Exchange(pool, PendingRequest(), 0, b"t1")
+        link, asked = ExecutorConnection(pool, Endpoint("e0", ("127.0.0.1", 1)), ours), []
+        pool.connections[link] = None
+        link.call = AttemptCall(executors, PendingRequest(), 0, b"t1")
         writing = asyncio.create_task(link.write(b"a task", 5.0, lambda: asked.append(1) or True))
         await asyncio.sleep(0)
         await asyncio.get_running_loop().run_in_executor(None, theirs.recv, 99)
@@ -340,13 +344,13 @@
 
 def test_what_cannot_repeat_is_not_risked_on_a_connection_as_old_as_dead_ones():
     place, now = Endpoint("e0", ("127.0.0.1", 1)), time.monotonic()
-    pool = Executors(dispatcher([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
-    kept = SimpleNamespace(open=True, fresh=lambda: True, idle_since=now - 0.15, idled=0.2)
+    pool = ConnectionPool(dispatcher([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
+    kept = SimpleNamespace(is_open=True, is_alive=lambda: True, idle_since=now - 0.15, idle_s=0.2)
     for deaths, once, found in ((0, True, kept), (1, True, kept), (2, True, None), (2, False, kept)):
         pool.idle[place] = [kept]
         pool.dead.clear()
-        pool.dead.extend([(now, 0.1)] * deaths)
-        assert pool._taken(place, once) is found
+        pool.dead.extend([DeadConnection(now, 0.1)] * deaths)
+        assert pool.take(place, once) is found
 
 
 def test_one_turn_is_due_at_a_time_however_often_it_is_woken():
@@ -376,11 +380,12 @@
 def test_an_assignment_waits_for_a_descriptor_as_long_as_for_a_connection(freed):
     async def run():
         ended = []
-        pool = Executors(dispatcher(ended), Budget(64, 10**8), Buffers(), 0.2, 60.0)
+        executors = Executors(dispatcher(ended), Budget(64, 10**8), Buffers(), 0.2, 60.0)
+        pool = executors.pool
         pool.budget.links = pool.budget.most
         executor = await StandIn().open()
         place = Endpoint("e0", parse(executor.address))
-        pool.carry(PendingRequest(), 0, place, b"t1", lambda: post(name="t1"))
+        executors.send_attempt(PendingRequest(), 0, place, b"t1", lambda: post(name="t1"))
         await asyncio.sleep(0.1)
         assert not ended and not executor.got
         pool.budget.links -= freed
@@ -613,7 +618,7 @@
         calls.append(1)
         raise OSError(number, "not here")
 
-    monkeypatch.setattr("firwalk.net.executors.new_socket", fails)
+    monkeypatch.setattr("firwalk.net.executor_pool.new_socket", fails)
 
     async def run():
         dispatcher = Dispatcher({"offerings": OFFERINGS, "limits": LIMITS}, 7, time.time, lambda: None)
@@ -623,8 +628,8 @@
         executors = Executors(dispatcher, Budget(64, int(1e8)), Buffers(), 0.25, 60.0)
         pending = dispatcher.report_request("read", "", 2.0, 0.01, 1.0, 0.0, False)
         step = await dispatcher.next_action(pending)
-        executors.carry(pending, step.number, step.endpoint, b"t", lambda: b"bytes")
-        return await asyncio.wait_for(dispatcher.next_action(pending), 1), executors.budget.links
+        executors.send_attempt(pending, step.number, step.endpoint, b"t", lambda: b"bytes")
+        return await asyncio.wait_for(dispatcher.next_action(pending), 1), executors.pool.budget.links
 
     step, links = asyncio.run(run())
     assert isinstance(step, RejectRequest) and len(calls) == 2 and links == 0
