--- a/firwalk/__main__.py
+++ b/firwalk/__main__.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from firwalk.config.node_config import error_lines, load, read
-from firwalk.net.opening import SHORT_OF_RESOURCES, ToldToStop, patiently
+from firwalk.net.errors import RESOURCE_ERRNOS, StopRequested, retry_while_transient
 from firwalk.net.service import Service
 from firwalk.observability.log import log_internal
 
@@ -65,7 +65,7 @@
     try:
         service.reload(read(path))
     except Exception as problem:  # a bad file must not end a node that serves
-        if getattr(problem, "errno", 0) in SHORT_OF_RESOURCES and monotonic() < until:
+        if getattr(problem, "errno", 0) in RESOURCE_ERRNOS and monotonic() < until:
             service.loop.call_later(AGAIN_S, _take_over, service, path, operations, until)
             return
         for line in error_lines(problem):
@@ -94,7 +94,7 @@
 async def _run(path: str, operations: str | None) -> int:
     loop = asyncio.get_running_loop()
     try:
-        service = Service(await patiently(lambda: _load(path), SHORT_OF_RESOURCES, lambda: False))
+        service = Service(await retry_while_transient(lambda: _load(path), RESOURCE_ERRNOS, lambda: False))
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, service.stop.request)
         service.reread = lambda: _reload(service, path, True, operations)
@@ -106,7 +106,7 @@
         if operations:
             service.join(_operations(operations, service.config))
         await service.open()
-    except ToldToStop:
+    except StopRequested:
         log_internal("told to end before it served: nothing was taken")
         _ignore_signals(loop)
         return 0
--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -23,7 +23,7 @@
 from firwalk.net import fields, http
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
-from firwalk.net.errors import Pause, concerns_connection
+from firwalk.net.errors import Backoff, concerns_connection
 from firwalk.net.executors import Executors
 from firwalk.net.stalls import Stalls
 from firwalk.net.waiting import hung_up, readable, received
@@ -335,7 +335,7 @@
     # -- connections -------------------------------------------------------------------------------------
 
     async def accept(self, listener: socket.socket) -> None:
-        pause = Pause()
+        backoff = Backoff()
         while True:
             await readable(listener)
             for _ in range(ACCEPTS):
@@ -347,9 +347,9 @@
                     log_external(f"no connection accepted: {problem}")
                     if concerns_connection(problem):
                         continue
-                    await asyncio.sleep(pause.next())
+                    await asyncio.sleep(backoff.next_delay_s())
                     break
-                pause.over()
+                backoff.reset()
                 self.held, accepted_at = sock, monotonic()
                 while not self.admit(sock, accepted_at):  # closed, what its client has sent were lost
                     await asyncio.sleep(0.01)
--- a/firwalk/net/control_channel.py
+++ b/firwalk/net/control_channel.py
@@ -23,9 +23,8 @@
 
 import orjson
 
-from firwalk.net.errors import Pause
+from firwalk.net.errors import RESOURCE_ERRNOS, Backoff
 from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
-from firwalk.net.opening import SHORT_OF_RESOURCES
 from firwalk.net.restart_messages import PROTOCOL_VERSION, WireObject
 from firwalk.net.waiting import readable
 from firwalk.observability.log import log_exception, log_external
@@ -280,7 +279,7 @@
     def listen(self) -> None:
         """Lets the next process find this one; retries while the system is short of resources."""
         problem = self._bind()
-        if problem is None or problem.errno in SHORT_OF_RESOURCES:
+        if problem is None or problem.errno in RESOURCE_ERRNOS:
             self._accepting = asyncio.get_running_loop().create_task(self._listen())
         else:
             _log_unreachable(problem)
@@ -302,11 +301,11 @@
         return None
 
     async def _listen(self) -> None:
-        pause = Pause()
+        backoff = Backoff()
         while self._listener is None:
-            await asyncio.sleep(pause.next())
+            await asyncio.sleep(backoff.next_delay_s())
             problem = self._bind()
-            if problem is not None and problem.errno not in SHORT_OF_RESOURCES:
+            if problem is not None and problem.errno not in RESOURCE_ERRNOS:
                 _log_unreachable(problem)
                 return
         await self._accept(self._listener)
--- a/firwalk/net/discovery.py
+++ b/firwalk/net/discovery.py
@@ -1,4 +1,4 @@
-"""The list of executors: a watch that stays open, and single calls."""
+"""The client of the discovery service: a watch that stays open, and polls of the whole endpoint list."""
 
 from __future__ import annotations
 
@@ -15,88 +15,105 @@
 from firwalk.net.waiting import connected
 from firwalk.observability.log import log_exception, log_external
 
-# What discovery has to tell counts as known six seconds later, whatever failed before. A watch that falls
-# silent, the pause before the next call, its connect and its answer must fit in that time together, and so
-# must a call that hangs, the pause and the call after it: the longest pauses are in `firwalk.policy.policy`.
-CONNECT_TIME = 0.4  # seconds
-SILENCE = 2.4  # seconds without a whole line (one comes every two) after which a watch has ended
-CALL_TIME = 2.2  # seconds from the request to a whole first list, of a watch and of a single call: one
-# that waits its turn gets a 503 after two, so that one without an answer fell silent
-MOST_LIST = 1 << 22  # bytes of one update, over all its lines
+# An update counts as known to this node six seconds after it, whatever failed before. In that time must fit,
+# together: a watch that falls silent, the delay before the next call, its connect and its first list; and a
+# call that hangs, the delay and the call after it. The bounds of the delay are in `firwalk.policy.policy`.
+CONNECT_TIMEOUT_S = 0.4
+WATCH_SILENCE_TIMEOUT_S = 2.4  # a sign of life comes every two seconds
+FIRST_LIST_TIMEOUT_S = 2.2  # from the request on; a call that waits its turn gets a 503 after two seconds
+MAX_UPDATE_BYTES = 1 << 22  # over all its lines
 
 
 class Discovery:
-    def __init__(self, dispatcher: Dispatcher, buffers: Buffers, address: tuple[str, int]):
-        self.dispatcher, self.buffers, self.address = dispatcher, buffers, address
-        self.watching: asyncio.Task | None = None
-        self.asking: asyncio.Task | None = None
-        self.left: asyncio.Task | None = None  # the watch of the service before, until the new one tells
-        self.heard = True  # whether the service of this address has told a list
+    """Watches and polls the endpoint list, and reports its updates to the dispatcher."""
+
+    def __init__(self, dispatcher: Dispatcher, buffers: Buffers, address: tuple[str, int]) -> None:
+        self.dispatcher = dispatcher
+        self.buffers = buffers
+        self.address = address
+        self.watch_task: asyncio.Task[None] | None = None
+        self.poll_task: asyncio.Task[None] | None = None
+        self.previous_watch: asyncio.Task[None] | None = (
+            None  # of the service before, until this one is heard
+        )
+        self.has_received_list = True  # from the service at this address
 
     def watch(self, on: bool) -> None:
-        if self.watching is not None and not self.watching.done():
+        """Opens the watch, if it is not open, or closes it."""
+        if self.watch_task is not None and not self.watch_task.done():
             if on:
                 return
-            self.watching.cancel()
-        self.watching = asyncio.get_running_loop().create_task(self._call(True)) if on else None
+            self.watch_task.cancel()
+        self.watch_task = self._start_call(is_watch=True) if on else None
 
-    def ask(self) -> None:
-        if self.asking is None or self.asking.done():
-            self.asking = asyncio.get_running_loop().create_task(self._call(False))
+    def poll(self) -> None:
+        """Fetches the whole list once, unless a poll is in flight."""
+        if self.poll_task is None or self.poll_task.done():
+            self.poll_task = self._start_call(is_watch=False)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Another service keeps the list from now on. It is asked at once; until it tells, what the one
-        before told stays, and what its watch still tells counts."""
+        """Changes to another service, which is asked at once.
+
+        Until it sends a list, the list of the service before stays, and updates of its watch still count.
+        """
         if address == self.address:
             return
-        watching = self.watching
-        if watching is not None and self.heard:
-            self.left, self.watching = watching, None
+        if self.watch_task is not None and self.has_received_list:
+            self.previous_watch, self.watch_task = self.watch_task, None
         self.watch(False)
-        self.address, self.heard = address, False
+        self.address = address
+        self.has_received_list = False
         self.watch(True)
 
-    def told(self, address: tuple[str, int], news: listing.Update) -> None:
-        if address == self.address and not self.heard:
-            self.heard = True
+    def _start_call(self, is_watch: bool) -> asyncio.Task[None]:
+        return asyncio.get_running_loop().create_task(self._call(is_watch))
+
+    def _receive_update(self, address: tuple[str, int], update: listing.Update) -> None:
+        if address == self.address and not self.has_received_list:
+            self.has_received_list = True
             self.dispatcher.reset_list_version()
-            if self.left is not None:
-                self.left.cancel()
-        self.dispatcher.report_list(*news)
-
-    async def _call(self, watch: bool) -> None:
-        """One call; its end, the watch's or one without a list, is told so that another may follow."""
-        # Another service may count its versions otherwise: the first time it is asked for all.
-        since, address = self.dispatcher.version if self.heard else 0, self.address
-        target = b"/catalog/members" + (b"?follow=1&since=%d" % since if watch else b"")
-        told, silent = _Told(lambda news: self.told(address, news), watch), False
+            if self.previous_watch is not None:
+                self.previous_watch.cancel()
+        self.dispatcher.report_list(*update)
+
+    async def _call(self, is_watch: bool) -> None:
+        """One call. The end of a watch, or of a poll without a list, is reported: another may follow."""
+        address = self.address
+        # Another service may count its versions otherwise: it is asked for everything first.
+        version = self.dispatcher.version if self.has_received_list else 0
+        target = b"/catalog/members" + (b"?follow=1&since=%d" % version if is_watch else b"")
+        response = _Response(lambda update: self._receive_update(address, update), is_watch)
+        is_silent = False
         try:
-            await self._read(address, target, told)
-            log_external(f"the list's service ended {'the watch' if watch else 'a call'} with {told.status}")
-        except (OSError, TimeoutError) as problem:
+            await self._read(address, target, response)
+            call = "the watch" if is_watch else "a call"
+            log_external(f"the list's service ended {call} with {response.status}")
+        except OSError as problem:
             log_external(f"the list's service: {str(problem) or 'silent'}")
-            silent = isinstance(problem, TimeoutError)
+            is_silent = isinstance(problem, TimeoutError)
         except http.Malformed as problem:
             log_external(f"the list's service: {problem}")
         except Exception as problem:
             log_exception("reading the list", problem)
-        if address == self.address and (watch or not told.lists):
-            self.dispatcher.report_list_broken(silent)
+        if address == self.address and (is_watch or not response.update_count):
+            self.dispatcher.report_list_broken(is_silent)
 
-    async def _read(self, address: tuple[str, int], target: bytes, told: _Told) -> None:
+    async def _read(self, address: tuple[str, int], target: bytes, response: _Response) -> None:
         loop = asyncio.get_running_loop()
         sock = new_socket(address)
         buffer = self.buffers.take()
         view = memoryview(buffer)
         try:
-            async with asyncio.timeout(CONNECT_TIME):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await connected(sock, address)
-            parser = http.Answers(told.began, told.line, told.ended, told.blank)
-            told.begin()
-            async with asyncio.timeout(told.left()):
+            parser = http.Answers(
+                response.begin, response.receive_line, response.end, response.receive_blank_line
+            )
+            response.begin_request()
+            async with asyncio.timeout(response.remaining_s()):
                 await loop.sock_sendall(sock, http.ask(b"GET", target, [host_header(address)]))
-            while not told.over:
-                async with asyncio.timeout(told.left()):
+            while not response.has_ended:
+                async with asyncio.timeout(response.remaining_s()):
                     count = await loop.sock_recv_into(sock, buffer)
                 if not count:
                     return
@@ -107,58 +124,68 @@
             sock.close()
 
 
-class _Told:
-    """What one call has told so far, and how long it may still take.
+class _Response:
+    """The updates that one call has brought so far, and how long it may still take.
 
-    An update is a JSON object, on one line or, indented, on several. Bytes alone are no sign of life: whole
-    updates are, and the empty lines that a watch sends while nothing changes.
+    An update is a JSON object, on one line or, indented, on several. Bytes alone are no sign of life:
+    complete updates are, and the empty lines that a watch sends while nothing changes.
     """
 
-    def __init__(self, list_came: Callable[[listing.Update], None], watch: bool):
-        self.list_came, self.watch, self.until = list_came, watch, 0.0
-        self.status, self.lists, self.over = 0, 0, False
-        self.text = b""  # of an update that is not whole yet
-
-    def begin(self) -> None:
-        """The request is about to be written: a first list has to be whole in the time of a call."""
-        self.until = monotonic() + CALL_TIME
-
-    def left(self) -> float:
-        """Seconds until the call has failed."""
-        return max(self.until - monotonic(), 0.0)
-
-    def _alive(self) -> None:
-        if self.watch and self.lists:
-            self.until = monotonic() + SILENCE
-
-    def began(self, status: int, headers: dict) -> None:
+    def __init__(self, receive_update: Callable[[listing.Update], None], is_watch: bool) -> None:
+        self.receive_update = receive_update
+        self.is_watch = is_watch
+        self.status = 0
+        self.update_count = 0
+        self.has_ended = False
+        self.deadline = 0.0
+        self.partial_update = b""
+
+    def begin_request(self) -> None:
+        """The request is about to be written."""
+        self.deadline = monotonic() + FIRST_LIST_TIMEOUT_S
+
+    def remaining_s(self) -> float:
+        """Until the call has failed."""
+        return max(self.deadline - monotonic(), 0.0)
+
+    def _extend_deadline(self) -> None:
+        if self.is_watch and self.update_count:
+            self.deadline = monotonic() + WATCH_SILENCE_TIMEOUT_S
+
+    def begin(self, status: int, headers: dict[bytes, bytes]) -> None:
+        """The head has come."""
         self.status = status
 
-    def line(self, line: bytes) -> None:
+    def receive_line(self, line: bytes) -> None:
+        """Passes on the update that ends with this line, if one does; raises http.Malformed."""
         if self.status != 200:
             return
-        first, self.text = not self.text, self.text + line + b"\n"
-        if len(self.text) > MOST_LIST:
+        is_first = not self.partial_update
+        self.partial_update += line + b"\n"
+        if len(self.partial_update) > MAX_UPDATE_BYTES:
             raise http.Malformed(400, "an update over the limit")
-        if not first and not line.rstrip().endswith(b"}"):
-            return  # an object ends with its bracket: only there is it worth a look
+        # Parsed only where it may be complete: after one line, or a closing bracket.
+        if not is_first and not line.rstrip().endswith(b"}"):
+            return
         try:
-            update = orjson.loads(self.text)
+            update = orjson.loads(self.partial_update)
         except orjson.JSONDecodeError as problem:
-            if problem.pos >= len(self.text.rstrip()):
+            if problem.pos >= len(self.partial_update.rstrip()):
                 return  # indented: it goes on
             raise http.Malformed(400, f"not a list of executors: {problem}") from problem
-        self.text = b""
-        self.list_came(listing.read(update))
-        self.lists += 1
-        self._alive()
-
-    def blank(self) -> None:
-        if self.text:
+        self.partial_update = b""
+        self.receive_update(listing.read(update))
+        self.update_count += 1
+        self._extend_deadline()
+
+    def receive_blank_line(self) -> None:
+        """A sign of life; raises http.Malformed inside an update."""
+        if self.partial_update:
             raise http.Malformed(400, "half an update, then a sign of life")
-        self._alive()
+        self._extend_deadline()
 
-    def ended(self, keep: bool) -> None:
-        self.over = True
-        if self.text:
+    def end(self, keep_alive: bool) -> None:
+        """The response has ended; raises http.Malformed inside an update."""
+        self.has_ended = True
+        if self.partial_update:
             raise http.Malformed(400, "the answer ended in an update")
--- a/firwalk/net/errors.py
+++ b/firwalk/net/errors.py
@@ -1,11 +1,15 @@
-"""What failures of calls to the system mean: of the one connection, of the moment, or of the process."""
+"""Errors of system calls: what they concern, and how calls are retried while their cause passes."""
 
 from __future__ import annotations
 
+import asyncio
 import errno
+from collections.abc import Awaitable, Callable
+from time import monotonic
+from typing import TypeVar
 
-# accept(2): of the connection that was to be accepted; the next one in the queue has nothing to do with it.
-OF_THE_CONNECTION = frozenset(
+# What accept(2) reports of the connection that was to be accepted; the next one in the queue may be sound.
+CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EINTR,
@@ -22,25 +26,59 @@
         errno.ECONNRESET,
     )
 )
-FIRST_PAUSE_S, LONGEST_PAUSE_S = 0.002, 0.05  # behind failures that last: of descriptors or memory
+RESOURCE_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR)
+)
+ADDRESS_ERRNOS = RESOURCE_ERRNOS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
+
+FIRST_DELAY_S = 0.002
+MAX_DELAY_S = 0.05
+RETRY_TIMEOUT_S = 1.5  # a start ends, with the reason, where something is missing for longer
+
+Result = TypeVar("Result")
+
+
+class StopRequested(Exception):
+    """The process was told to stop before it had what it needs."""
 
 
 def concerns_connection(problem: OSError) -> bool:
-    """Whether a failed accept says nothing of the next one: it can be tried at once."""
-    return problem.errno in OF_THE_CONNECTION
+    """Whether a failed accept says nothing of the next one, which can be tried at once."""
+    return problem.errno in CONNECTION_ERRNOS
 
 
-class Pause:
-    """How long to wait behind failures in a row: short at first, so that one alone delays nobody."""
+class Backoff:
+    """Delays between attempts that fail: short at first, so that a single failure delays nobody."""
 
     def __init__(self) -> None:
-        self.seconds = FIRST_PAUSE_S
+        self.delay_s = FIRST_DELAY_S
+
+    def next_delay_s(self) -> float:
+        """How long to wait now; twice as long the next time, up to a bound."""
+        delay_s = self.delay_s
+        self.delay_s = min(2 * delay_s, MAX_DELAY_S)
+        return delay_s
+
+    def reset(self) -> None:
+        """An attempt has succeeded."""
+        self.delay_s = FIRST_DELAY_S
 
-    def next(self) -> float:
-        """Seconds to wait now; twice as long the next time, up to a bound."""
-        seconds, self.seconds = self.seconds, min(2 * self.seconds, LONGEST_PAUSE_S)
-        return seconds
 
-    def over(self) -> None:
-        """It succeeded."""
-        self.seconds = FIRST_PAUSE_S
+async def retry_while_transient(
+    act: Callable[[], Awaitable[Result]],
+    transient_errnos: frozenset[int],
+    is_stopping: Callable[[], bool],
+    timeout_s: float = RETRY_TIMEOUT_S,
+) -> Result:
+    """Calls `act`, again while it fails with one of these errors; raises OSError or StopRequested."""
+    backoff = Backoff()
+    end = monotonic() + timeout_s
+    while True:
+        try:
+            return await act()
+        except OSError as problem:
+            if problem.errno not in transient_errnos or monotonic() > end:
+                raise
+        await asyncio.sleep(backoff.next_delay_s())
+        if is_stopping():
+            raise StopRequested
--- a/firwalk/net/management.py
+++ b/firwalk/net/management.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 
 from firwalk.net.address import new_socket
-from firwalk.net.errors import Pause, concerns_connection
+from firwalk.net.errors import Backoff, concerns_connection
 from firwalk.observability.log import log_exception, log_external
 
 SILENT_TIME = 5.0  # seconds in which a call must be whole
@@ -56,15 +56,15 @@
         self.accepting = asyncio.get_running_loop().create_task(self._accept())
 
     async def _accept(self) -> None:
-        loop, pause = asyncio.get_running_loop(), Pause()
+        loop, backoff = asyncio.get_running_loop(), Backoff()
         while True:
             try:
                 sock, _ = await loop.sock_accept(self.listener)
             except OSError as problem:
                 log_external(f"no operator's call accepted: {problem}")
-                await asyncio.sleep(0.0 if concerns_connection(problem) else pause.next())
+                await asyncio.sleep(0.0 if concerns_connection(problem) else backoff.next_delay_s())
                 continue
-            pause.over()
+            backoff.reset()
             sock.setblocking(False)
             while len(self.open) >= self.most:
                 oldest = next(iter(self.open))
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -26,11 +26,11 @@
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import Clients
 from firwalk.net.control_channel import steer
+from firwalk.net.errors import ADDRESS_ERRNOS, RESOURCE_ERRNOS, StopRequested, retry_while_transient
 from firwalk.net.executors import Executors
 from firwalk.net.graceful_shutdown import GracefulShutdown
 from firwalk.net.hot_restart import HotRestart
 from firwalk.net.management import Management, places
-from firwalk.net.opening import ADDRESS_TAKEN, SHORT_OF_RESOURCES, ToldToStop, patiently
 from firwalk.net.peers import Peers
 from firwalk.net.turns import Turns
 from firwalk.observability.events import Event, ProcessState
@@ -141,7 +141,7 @@
             case WatchEndpoints():
                 self.discovery.watch(action.is_on)
             case FetchEndpoints():
-                self.discovery.ask()
+                self.discovery.poll()
             case GossipFailure():
                 self.peers.tell(action.content)
             case WriteLogLine():
@@ -157,9 +157,13 @@
     async def open(self) -> None:
         address = parse(self.config["listen"])
         management = parse(self.config["management"]) if self.managed else None
-        await patiently(lambda: self._take_over_or_bind(address), ADDRESS_TAKEN, self.told_to_stop)
+        await retry_while_transient(
+            lambda: self._take_over_or_bind(address), ADDRESS_ERRNOS, self.told_to_stop
+        )
         if management is not None:
-            await patiently(lambda: self.management.listen(management), SHORT_OF_RESOURCES, self.told_to_stop)
+            await retry_while_transient(
+                lambda: self.management.listen(management), RESOURCE_ERRNOS, self.told_to_stop
+            )
 
     async def _take_over_or_bind(self, address: tuple[str, int]) -> None:
         """From the process before, if there is one: one that has just bound the address may answer by now."""
@@ -245,8 +249,8 @@
 
     async def _speak(self) -> None:
         try:
-            await patiently(self.peers.open, SHORT_OF_RESOURCES, self.told_to_stop, inf)
-        except ToldToStop:
+            await retry_while_transient(self.peers.open, RESOURCE_ERRNOS, self.told_to_stop, inf)
+        except StopRequested:
             return
         if self.cluster is not None:
             self.cluster.start()
@@ -300,7 +304,7 @@
         self.turns.soon()
         try:
             begun = await self._begin()
-        except ToldToStop:
+        except StopRequested:
             begun = False
         if not begun:
             log_internal("told to end before it served: nothing was taken")
@@ -326,7 +330,7 @@
         if self.told_to_stop() and not self.succession.hung:
             return False
         if not self.succession.hung:  # beside one that hangs it listens already
-            await patiently(self._open_to_clients, ADDRESS_TAKEN, self.told_to_stop)
+            await retry_while_transient(self._open_to_clients, ADDRESS_ERRNOS, self.told_to_stop)
         return True
 
     async def _open_to_clients(self) -> None:
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -466,14 +466,14 @@
         dispatcher = new_desk()
         dispatcher.report_list(3, True, [])
         asked = discovery.Discovery(dispatcher, Buffers(), listener.getsockname())
-        asked.watch(True) if watch else asked.ask()
+        asked.watch(True) if watch else asked.poll()
         sock, _ = await loop.sock_accept(listener)
         query = b"?follow=1&since=3" if watch else b""
         assert await read_some(sock, lambda data: data.endswith(b"\r\n\r\n")) == (
             b"GET /catalog/members%s HTTP/1.1\r\nHost: 127.0.0.1:%d\r\n\r\n" % (query, asked.address[1])
         )
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LIST) + LIST)
-        await (asked.watching if watch else asked.asking)
+        await (asked.watch_task if watch else asked.poll_task)
         assert dispatcher.version == 4 and list(dispatcher.endpoints.values()) == [ENTRY]
         sock.close()
         listener.close()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import Fake, request_class
 
-from firwalk.net.discovery import CALL_TIME, CONNECT_TIME, SILENCE
+from firwalk.net.discovery import CONNECT_TIMEOUT_S, FIRST_LIST_TIMEOUT_S, WATCH_SILENCE_TIMEOUT_S
 from firwalk.policy.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
 from firwalk.policy.request import Tenant
 
@@ -318,7 +318,7 @@
         f.node.endpoint_list_failed(f.now)
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     # Each pause, with the call after it, is over before what the service has since counts as told.
-    assert all(0.9 < gap < 3.1 for gap in gaps) and max(gaps) + CONNECT_TIME + CALL_TIME < 6.0
+    assert all(0.9 < gap < 3.1 for gap in gaps) and max(gaps) + CONNECT_TIMEOUT_S + FIRST_LIST_TIMEOUT_S < 6.0
     assert sum(gaps[5:]) / 24 > 1.7 and max(gaps) - min(gaps) > 1.0
 
 
@@ -343,9 +343,9 @@
 @pytest.mark.parametrize(
     "first, failed_after",
     [
-        ("a watch falls silent", SILENCE),
-        ("a connect hangs", CONNECT_TIME),
-        ("a call hangs", CONNECT_TIME + CALL_TIME),
+        ("a watch falls silent", WATCH_SILENCE_TIMEOUT_S),
+        ("a connect hangs", CONNECT_TIMEOUT_S),
+        ("a call hangs", CONNECT_TIMEOUT_S + FIRST_LIST_TIMEOUT_S),
         ("a call is refused", 0.0),
     ],
 )
@@ -353,15 +353,17 @@
     """That is six seconds after discovery has it. The change may come just as what fails later begins; what
     was refused had heard nothing yet, and the change comes after it."""
     longest, shortest = _pauses(nodes, first != "a call is refused")
-    assert failed_after + longest[0] + CONNECT_TIME + CALL_TIME < 6.0
+    assert failed_after + longest[0] + CONNECT_TIMEOUT_S + FIRST_LIST_TIMEOUT_S < 6.0
     assert longest[0] - shortest[0] > 0.3  # nodes that all fail at once do not call at once
-    assert SILENCE > 2.2 and CALL_TIME > 2.1  # an empty line comes every two seconds, a 503 after two
+    assert (
+        WATCH_SILENCE_TIMEOUT_S > 2.2 and FIRST_LIST_TIMEOUT_S > 2.1
+    )  # an empty line comes every two seconds, a 503 after two
 
 
 @pytest.mark.parametrize("nodes", [1, 5, 30, 200])
 def test_a_silent_watch_and_a_refusal_after_it_leave_time_for_one_more_call(nodes):
     longest, _ = _pauses(nodes, True, False)
-    assert longest[1] + CONNECT_TIME + CALL_TIME < 6.0
+    assert longest[1] + CONNECT_TIMEOUT_S + FIRST_LIST_TIMEOUT_S < 6.0
 
 
 def test_trials_of_an_executor_that_all_nodes_set_aside_at_once_come_spread():
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -43,8 +43,8 @@
 
 def play(behave, story, monkeypatch, watch=True):
     """One call to a service that answers by `behave(writer)`; `story(dispatcher, began)` looks on."""
-    monkeypatch.setattr(discovery, "CALL_TIME", LIMIT)
-    monkeypatch.setattr(discovery, "SILENCE", LIMIT)
+    monkeypatch.setattr(discovery, "FIRST_LIST_TIMEOUT_S", LIMIT)
+    monkeypatch.setattr(discovery, "WATCH_SILENCE_TIMEOUT_S", LIMIT)
 
     async def serve(reader, writer):
         await read_message(reader)
@@ -58,11 +58,11 @@
         dispatcher = Dispatcher()
         client = Discovery(dispatcher, Buffers(), parse(address_of(server)))
         began = time.monotonic()
-        client.watch(True) if watch else client.ask()
+        client.watch(True) if watch else client.poll()
         try:
             await story(SimpleNamespace(d=dispatcher, began=began, client=client))
         finally:
-            for call in (client.watching, client.asking):
+            for call in (client.watch_task, client.poll_task):
                 if call is not None:
                     call.cancel()
             server.close()
@@ -108,7 +108,7 @@
 
     async def story(w):
         await until(lambda: w.d.updates, LIMIT)
-        await until(w.client.asking.done, LIMIT)
+        await until(w.client.poll_task.done, LIMIT)
         assert w.d.updates == [(7, ["e0", "e1"])] and not w.d.broken
 
     play(behave, story, monkeypatch, watch=False)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -9,7 +9,7 @@
 import pytest
 from test_endings import some_clients
 
-from firwalk.net.errors import LONGEST_PAUSE_S, Pause
+from firwalk.net.errors import MAX_DELAY_S, Backoff
 
 
 class Listener:
@@ -59,8 +59,8 @@
 
 
 def test_a_failure_that_lasts_is_not_tried_without_a_pause():
-    pause = Pause()
-    waits = [pause.next() for _ in range(20)]
-    assert waits[0] < 0.005 and waits[-1] == LONGEST_PAUSE_S and waits == sorted(waits)
-    pause.over()
-    assert pause.next() == waits[0]
+    pause = Backoff()
+    waits = [pause.next_delay_s() for _ in range(20)]
+    assert waits[0] < 0.005 and waits[-1] == MAX_DELAY_S and waits == sorted(waits)
+    pause.reset()
+    assert pause.next_delay_s() == waits[0]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,7 +23,7 @@
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import SETTLED, Clients
-from firwalk.net.discovery import CALL_TIME
+from firwalk.net.discovery import FIRST_LIST_TIMEOUT_S
 from firwalk.net.executor_connection import ExecutorConnection
 from firwalk.net.executor_pool import ConnectionPool, DeadConnection
 from firwalk.net.executors import AttemptCall, Executors
@@ -553,7 +553,9 @@
             assert (await w.ask(post(name=f"t{n}")))[0] == 200
             await asyncio.sleep(1.0)
         gaps = [b - a for a, b in zip(w.asked_at, w.asked_at[1:], strict=False)]
-        assert 1 <= len(gaps) <= 3 and all(CALL_TIME - 0.1 < gap < 6.0 - CALL_TIME for gap in gaps)
+        assert 1 <= len(gaps) <= 3 and all(
+            FIRST_LIST_TIMEOUT_S - 0.1 < gap < 6.0 - FIRST_LIST_TIMEOUT_S for gap in gaps
+        )
 
     play(story, silent=True)
 
