--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -134,7 +134,7 @@
             keeps_connections_to=lambda place: True,
         )
         pool = executors.Executors(dispatcher, Budget(64, 10**8), Buffers(), 1.0, 60.0)
-        pool.probe(place, 5.0)
+        pool.check_health(place, 5.0)
         sock, _ = await loop.sock_accept(listener)
         port = place.address[1]
         assert await read_some(sock, lambda data: data.endswith(b"\r\n\r\n")) == (
@@ -198,10 +198,12 @@
         report_progress=lambda pending, number, share: told.append(share),
         report_outcome=lambda pending, number, how, load, result: told.append((how, load, result)),
     )
-    exchange = executors.Exchange(
-        SimpleNamespace(dispatcher=dispatcher, carried={}), PendingRequest(), 0, b"r1"
+    exchange = executors.AttemptCall(
+        SimpleNamespace(dispatcher=dispatcher, attempts={}), PendingRequest(), 0, b"r1"
+    )
+    parser = http.Answers(
+        exchange.begin_response, exchange.receive_line, lambda keep: exchange.complete_response()
     )
-    parser = http.Answers(exchange.began, exchange.line, lambda keep: exchange.whole())
     parser.feed(memoryview(answer))
     assert told == reports
 
@@ -276,7 +278,7 @@
             if how is not None:
                 dispatcher.report_outcome(pending, number, how, None, b"made")
 
-        carrier = SimpleNamespace(carry=carry, call_off=lambda pending, number: None)
+        carrier = SimpleNamespace(send_attempt=carry, cancel_attempt=lambda pending, number: None)
         door = clients.Clients(dispatcher, carrier, Budget(64, 10**8), Buffers(), dispatcher.monitor)
         ours, theirs = socket.socketpair()
         assert door.admit(ours)
@@ -464,14 +466,14 @@
         dispatcher = new_desk()
         dispatcher.report_list(3, True, [])
         asked = discovery.Discovery(dispatcher, Buffers(), listener.getsockname())
-        asked.watch(True) if watch else asked.ask()
+        asked.watch(True) if watch else asked.poll()
         sock, _ = await loop.sock_accept(listener)
         query = b"?follow=1&since=3" if watch else b""
         assert await read_some(sock, lambda data: data.endswith(b"\r\n\r\n")) == (
             b"GET /catalog/members%s HTTP/1.1\r\nHost: 127.0.0.1:%d\r\n\r\n" % (query, asked.address[1])
         )
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LIST) + LIST)
-        await (asked.watching if watch else asked.asking)
+        await (asked.watch_task if watch else asked.poll_task)
         assert dispatcher.version == 4 and list(dispatcher.endpoints.values()) == [ENTRY]
         sock.close()
         listener.close()
