--- a/firwalk/lab/soak/shim.py
+++ b/firwalk/lab/soak/shim.py
@@ -109,15 +109,15 @@
     """Connections that come up late."""
     from firwalk.net import discovery, executors, waiting
 
-    real = waiting.connected
+    real = waiting.connect
 
-    async def connected(sock, address):
+    async def connect(sock, address):
         if rate and chance.random() < rate:
             injected["late_connect"] += 1
             await asyncio.sleep(chance.uniform(0.0, most_s))
         await real(sock, address)
 
-    executors.connected = discovery.connected = connected
+    executors.connect = discovery.connect = connect
 
 
 def _patch(told: str) -> None:
--- a/firwalk/net/budget.py
+++ b/firwalk/net/budget.py
@@ -1,10 +1,10 @@
-"""Descriptors and memory: what may be open, what gives way when they run short, what is kept in reserve.
+"""Limits on descriptors and memory: what may be open, what is evicted when they run short, what is reserved.
 
-Connections are counted, not files. When a client or an executor needs one and none is left, a connection
-that stands idle is closed for it. With none idle, a client is let in on a spare one, where its task is told
-503; with no spare one left, nobody is let in until a descriptor is free. An assignment waits for one as long
-as a connect may take, then it ends as not sent. Probes leave room for both. Bodies have a share of the
-memory, counted as they come; beyond it a client is told 503.
+Connections are counted, not files. When a client or an executor needs one and none is left, an idle
+connection is evicted for it. With none idle, a client is admitted on a spare descriptor, where its request is
+answered 503; with no spare one left, nobody is admitted until a descriptor is free. An attempt waits for one
+as long as a connect may take, and then ends as not sent. Health checks leave room for both. Bodies have a
+share of the memory, counted as they come; beyond it a client is answered 503.
 """
 
 from __future__ import annotations
@@ -13,94 +13,128 @@
 
 from firwalk.observability.log import check_invariant
 
-BASE = 20  # listener, list, peers, event loop, standard streams
-SPARE_PART = 0.125  # of the rest: for clients that are told 503
-CLIENT_PART = 0.6  # of what is left: beyond it clients leave room for executors
-PROBE_PART = 0.75  # of what is left: beyond it no connection is opened for a probe
-PROGRAM = 20e6  # bytes of memory that the program takes without any task
-BODY_PART = 0.4  # of the rest: for bodies, from their first bytes to the end of their tasks
-BODY_COPIES = 2  # the body itself, and the bytes of an assignment
-CLIENT_MEMORY = 0.4  # of the rest: for connections without their bodies
-CLIENT_HOLDS = 24000  # bytes of that for one: buffer, reader, parser, and what belongs to a task
+BASE_DESCRIPTORS = 20  # listener, list, peers, event loop, standard streams
+MIN_DESCRIPTORS = 8  # for connections, however low the limit
+MIN_SPARE = 2
+SPARE_SHARE = 0.125  # of the descriptors for connections
+CLIENT_SHARE = 0.6  # of what the spare ones leave: beyond it, clients leave room for executors
+HEALTH_CHECK_SHARE = 0.75  # of the same: beyond it, no connection is opened for a health check
+PROGRAM_BYTES = 20e6  # that the program takes without any request
+MIN_REQUEST_MEMORY_SHARE = 0.1  # of all, however little the program leaves
+BODY_SHARE = 0.4  # of the memory for requests: for bodies, from their first bytes to the end of the request
+BODY_COPIES = 2  # the body itself, and the bytes of an attempt
+CLIENT_MEMORY_SHARE = 0.4  # of the memory for requests: for connections without bodies
+CLIENT_BYTES = 24000  # of a connection: buffer, reader, parser, and what belongs to a request
+
+
+def _evict_no_client(is_spare: bool) -> bool:
+    return False
+
+
+def _evict_no_executor() -> bool:
+    return False
 
 
 class Budget:
-    def __init__(self, descriptors: int, memory: int, reserved: int = 0):
-        self.reserved, self.clients, self.links, self.spare, self.bodies = reserved, 0, 0, 0, 0
-        self.shed_client: Callable[[bool], bool] = lambda spare: False  # close an idle one; was there one?
-        self.shed_link: Callable[[], bool] = lambda: False
-        self.limit(descriptors, memory)
-
-    def limit(self, descriptors: int, memory: int) -> None:
-        """Other limits from now on; what is open beyond them stays until it is wanted or ends."""
-        rest = max(descriptors - BASE - self.reserved, 8)
-        room = max(memory - PROGRAM, 0.1 * memory)
-        self.most_spare = max(int(rest * SPARE_PART), 2)
-        self.most = rest - self.most_spare
-        self.most_clients = min(int(self.most * CLIENT_PART), int(room * CLIENT_MEMORY / CLIENT_HOLDS))
-        self.most_bodies = int(room * BODY_PART / BODY_COPIES)
-
-    def keep_to(self, more: int) -> None:
-        """What is open may stay, and so many more may be opened, whatever they are for."""
-        self.most = self.clients + self.links + more
+    """Counts connections and bytes of bodies against the limits of the process."""
+
+    def __init__(self, descriptors: int, memory_bytes: int, reserved: int = 0) -> None:
+        self.reserved = reserved  # descriptors for other uses
+        self.clients = 0  # without those on spare descriptors
+        self.executors = 0
+        self.spare = 0
+        self.body_bytes = 0
+        # Each closes an idle connection; whether there was one. A client's is on a spare descriptor, or not.
+        self.evict_client: Callable[[bool], bool] = _evict_no_client
+        self.evict_executor: Callable[[], bool] = _evict_no_executor
+        self.set_limits(descriptors, memory_bytes)
+
+    def set_limits(self, descriptors: int, memory_bytes: int) -> None:
+        """Changes the limits; what is open beyond them stays until it is needed elsewhere or ends."""
+        available = max(descriptors - BASE_DESCRIPTORS - self.reserved, MIN_DESCRIPTORS)
+        memory = max(memory_bytes - PROGRAM_BYTES, MIN_REQUEST_MEMORY_SHARE * memory_bytes)
+        self.max_spare = max(int(available * SPARE_SHARE), MIN_SPARE)
+        self.max_connections = available - self.max_spare
+        self.max_clients = min(
+            int(self.max_connections * CLIENT_SHARE), int(memory * CLIENT_MEMORY_SHARE / CLIENT_BYTES)
+        )
+        self.max_body_bytes = int(memory * BODY_SHARE / BODY_COPIES)
+
+    def limit_to_current(self, additional: int) -> None:
+        """What is open may stay, and `additional` more connections may be opened, whatever their use."""
+        self.max_connections = self.clients + self.executors + additional
 
     def open_client(self) -> bool:
-        if self.clients >= self.most_clients and not self.shed_client(False):
+        """Counts a client's connection, evicting another if needed; False where none is left."""
+        if self.clients >= self.max_clients and not self.evict_client(False):
             return False
-        if self.clients + self.links >= self.most and not (self.shed_link() or self.shed_client(False)):
+        is_full = self.clients + self.executors >= self.max_connections
+        if is_full and not (self.evict_executor() or self.evict_client(False)):
             return False
         self.clients += 1
         return True
 
     def open_spare(self) -> bool:
-        if self.spare >= self.most_spare and not self.shed_client(True):
+        """Counts a client's connection on a spare descriptor; False where none is left."""
+        if self.spare >= self.max_spare and not self.evict_client(True):
             return False
         self.spare += 1
         return True
 
     def force_spare(self) -> None:
-        """One that is open already, whatever the limit on spare ones."""
+        """Counts a spare connection that is open already, whatever the limit."""
         self.spare += 1
 
-    def settle(self) -> bool:
-        """A client on a spare descriptor moves to a common one, if there is one again."""
+    def move_off_spare(self) -> bool:
+        """Counts a spare connection as an ordinary one, if one is left again."""
         if not self.open_client():
             return False
         self.spare -= 1
         return True
 
-    def open_link(self, probe: bool = False) -> bool:
-        used = self.clients + self.links
-        if probe and used >= self.most * PROBE_PART:
+    def open_executor(self, is_health_check: bool = False) -> bool:
+        """Counts a connection to an executor, evicting another if needed; False where none is left."""
+        in_use = self.clients + self.executors
+        if is_health_check and in_use >= self.max_connections * HEALTH_CHECK_SHARE:
             return False
-        if used >= self.most and not (self.shed_client(False) or self.shed_link()):
+        if in_use >= self.max_connections and not (self.evict_client(False) or self.evict_executor()):
             return False
-        self.links += 1
+        self.executors += 1
         return True
 
     def adopt_client(self) -> None:
-        """One that the other process of this node had, whose place comes with it: until the shares are told
-        anew, it must not make others give way."""
-        self.clients, self.most, self.most_clients = self.clients + 1, self.most + 1, self.most_clients + 1
-
-    def adopt_link(self) -> None:
-        self.links, self.most = self.links + 1, self.most + 1
+        """Counts a connection that another process of this node handed over, with its descriptor.
 
-    def close_client(self, spare: bool) -> None:
-        self.clients -= not spare
-        self.spare -= spare
+        Until the limits are shared out anew, it must not cause an eviction.
+        """
+        self.clients += 1
+        self.max_connections += 1
+        self.max_clients += 1
+
+    def adopt_executor(self) -> None:
+        """The same for a connection to an executor."""
+        self.executors += 1
+        self.max_connections += 1
+
+    def close_client(self, is_spare: bool) -> None:
+        """Counts the end of a client's connection."""
+        self.clients -= not is_spare
+        self.spare -= is_spare
         check_invariant(min(self.clients, self.spare) >= 0, "a client's connection is counted once")
 
-    def close_link(self) -> None:
-        self.links -= 1
-        check_invariant(self.links >= 0, "an executor's connection is counted once")
+    def close_executor(self) -> None:
+        """Counts the end of a connection to an executor."""
+        self.executors -= 1
+        check_invariant(self.executors >= 0, "an executor's connection is counted once")
 
-    def hold(self, size: int) -> bool:
-        if self.bodies + size > self.most_bodies:
+    def reserve_memory(self, size_bytes: int) -> bool:
+        """Reserves memory for a part of a body; False where none is left."""
+        if self.body_bytes + size_bytes > self.max_body_bytes:
             return False
-        self.bodies += size
+        self.body_bytes += size_bytes
         return True
 
-    def let_go(self, size: int) -> None:
-        self.bodies -= size
-        check_invariant(self.bodies >= 0, "a body is let go once")
+    def release_memory(self, size_bytes: int) -> None:
+        """Releases what was reserved."""
+        self.body_bytes -= size_bytes
+        check_invariant(self.body_bytes >= 0, "a body is let go once")
--- a/firwalk/net/buffers.py
+++ b/firwalk/net/buffers.py
@@ -1,22 +1,27 @@
-"""Buffers of one size for all reads, used again from a pool."""
+"""A pool of read buffers, all of one size."""
 
 from __future__ import annotations
 
 from firwalk.observability.log import check_invariant
 
-SIZE = 8192
+BUFFER_BYTES = 8192
 
 
 class Buffers:
+    """Read buffers, reused."""
+
     def __init__(self) -> None:
         self.free: list[bytearray] = []
-        self.out = 0
+        self.in_use = 0
 
     def take(self) -> bytearray:
-        self.out += 1
-        return self.free.pop() if self.free else bytearray(SIZE)
+        """A buffer for the caller alone, until it is given back."""
+        self.in_use += 1
+        return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
 
     def give(self, buffer: bytearray) -> None:
-        check_invariant(len(buffer) == SIZE and self.out > 0, "a buffer comes back once and in its size")
-        self.out -= 1
+        """Takes a buffer back."""
+        is_valid = len(buffer) == BUFFER_BYTES and self.in_use > 0
+        check_invariant(is_valid, "a buffer comes back once and in its size")
+        self.in_use -= 1
         self.free.append(buffer)
--- a/firwalk/net/clients.py
+++ b/firwalk/net/clients.py
@@ -25,8 +25,8 @@
 from firwalk.net.buffers import Buffers
 from firwalk.net.errors import Pause, concerns_connection
 from firwalk.net.executors import Executors
-from firwalk.net.stalls import Stalls
-from firwalk.net.waiting import hung_up, readable, received
+from firwalk.net.stalls import StallDetector
+from firwalk.net.waiting import has_hung_up, receive_into, wait_readable
 from firwalk.observability.events import CloseReason, Event, EventLog, FailureReason
 from firwalk.observability.log import check_invariant, log_exception, log_external
 from firwalk.observability.monitor import Monitor, Rule
@@ -58,7 +58,9 @@
 
     def __init__(self, clients: Clients, sock: socket.socket, spare: bool, accepted_at: float):
         self.clients, self.sock, self.spare = clients, sock, spare
-        self.parser = http.Incoming(self._came, clients.budget.hold, clients.budget.let_go)
+        self.parser = http.RequestParser(
+            self._came, clients.budget.reserve_memory, clients.budget.release_memory
+        )
         self.waiting: deque[tuple] = deque()
         self.room = asyncio.get_running_loop().create_future()
         self.busy = False
@@ -81,15 +83,17 @@
         buffer = self.clients.buffers.take()
         view = memoryview(buffer)
         try:
-            while count := await received(self.sock, buffer):
-                if not self.parser.partial and self.used:
+            while count := await receive_into(self.sock, buffer):
+                if not self.parser.is_partial and self.used:
                     self.heard_at = monotonic()
                 self.parser.feed(view[:count])
                 self.accepted_at = None
                 self._next()
-                if self.parser.expects and not self.busy:  # else the word would stand before another answer
-                    self.parser.expects = False
-                    await asyncio.get_running_loop().sock_sendall(self.sock, http.GO_ON)
+                if (
+                    self.parser.expects_continue and not self.busy
+                ):  # else the word would stand before another answer
+                    self.parser.expects_continue = False
+                    await asyncio.get_running_loop().sock_sendall(self.sock, http.CONTINUE_RESPONSE)
                 while len(self.waiting) >= READ_AHEAD:  # the rest stays with the machine, not in our memory
                     if not await self._room():
                         return
@@ -113,7 +117,7 @@
         self.room = asyncio.get_running_loop().create_future()
         while not self.room.done():
             await asyncio.wait([self.room], timeout=HANG_UP_TIME)
-            if hung_up(self.sock):
+            if has_hung_up(self.sock):
                 return False
         return True
 
@@ -125,10 +129,10 @@
         self.clients.malformed += 1
         log_external(f"a client's bytes: {problem}")
         if problem.status == NO_ROOM:
-            self.parser.drop()
+            self.parser.discard_body()
             while self.busy or self.waiting:
                 await asyncio.sleep(HANG_UP_TIME)
-                if hung_up(self.sock):
+                if has_hung_up(self.sock):
                     return
         self.leaving, self.close_reason = problem.status, CloseReason.MALFORMED
         self.clients.departs(self)
@@ -140,8 +144,8 @@
     def _forget(self) -> None:
         """Drops what waits and calls off what is in work."""
         while self.waiting:
-            self.clients.budget.let_go(len(self.waiting.popleft()[3]))
-        self.parser.drop()
+            self.clients.budget.release_memory(len(self.waiting.popleft()[3]))
+        self.parser.discard_body()
         pending, self.pending = self.pending, None
         if pending is not None:
             self.busy = False
@@ -165,7 +169,7 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(SLOW_LINGER if status == TOO_SLOW else LINGER):
-                await loop.sock_sendall(self.sock, http.answer(status, keep=False))
+                await loop.sock_sendall(self.sock, http.encode_response(status, keep_alive=False))
                 self.sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv_into(self.sock, buffer):
                     await asyncio.sleep(LINGER_STEP)
@@ -177,7 +181,7 @@
         was wrong."""
         now = monotonic()
         self.pushes = self.pushes + 1 if now - self.turned_away_at < AT_ONCE else 0
-        came_at = now - self.clients.stalls.behind(now, self.sock)
+        came_at = now - self.clients.stalls.time_unread(now, self.sock)
         if self.accepted_at is not None:
             came_at = min(came_at, self.accepted_at)
         self.waiting.append((method, target, headers, body, keep, came_at))
@@ -205,7 +209,7 @@
                 async with asyncio.timeout(WRITE_TIME):
                     self.writing = asyncio.current_task()
                     await asyncio.get_running_loop().sock_sendall(
-                        self.sock, http.answer(status, body, keep, advice)
+                        self.sock, http.encode_response(status, body, keep, advice)
                     )
             except (OSError, TimeoutError):
                 keep = False
@@ -235,7 +239,7 @@
         try:
             self.sock.shutdown(socket.SHUT_WR)
             end = monotonic() + LINGER
-            while monotonic() < end and not hung_up(self.sock):
+            while monotonic() < end and not has_hung_up(self.sock):
                 await asyncio.sleep(LINGER_STEP)
         except OSError:
             pass
@@ -263,7 +267,7 @@
 
     def still(self) -> bool:
         """Nothing of a message is read and nothing in work; what may be unread stays in the socket."""
-        return not (self.busy or self.closing or self.parser.partial or self.leaving or self.waiting)
+        return not (self.busy or self.closing or self.parser.is_partial or self.leaving or self.waiting)
 
     def hand_over(self, heir: Callable[[socket.socket], None]) -> None:
         """Another process goes on with it, as soon as the event loop has let go of it."""
@@ -272,7 +276,7 @@
 
     def idle(self) -> bool:
         """Nothing is in work, nor about to be."""
-        return not (self.busy or self.closing or self.parser.partial or self.leaving) and self._read_up()
+        return not (self.busy or self.closing or self.parser.is_partial or self.leaving) and self._read_up()
 
     def _read_up(self) -> bool:
         """Nothing has come that is not read yet: closed now, it would be lost."""
@@ -323,9 +327,9 @@
         self.ending, self.stopping, self.malformed = False, False, 0
         # Another process of this node gets each as soon as it is still: whom to give it to.
         self.moving: Callable[[bool, socket.socket], None] | None = None
-        self.accepted_at, self.stalls = monotonic(), Stalls()
+        self.accepted_at, self.stalls = monotonic(), StallDetector()
         self.held: socket.socket | None = None  # accepted, while no descriptor is free for it
-        budget.shed_client = self.shed
+        budget.evict_client = self.shed
 
     def keep(self, work: asyncio.Task) -> None:
         """The event loop itself holds tasks only weakly."""
@@ -337,7 +341,7 @@
     async def accept(self, listener: socket.socket) -> None:
         pause = Pause()
         while True:
-            await readable(listener)
+            await wait_readable(listener)
             for _ in range(ACCEPTS):
                 try:
                     sock, _ = listener.accept()
@@ -393,7 +397,7 @@
 
     async def _resumed(self, client: Client, pending: PendingRequest, message: tuple) -> None:
         name, size = message[0], len(message[3])
-        self.names[name], held = None, self.budget.hold(size)
+        self.names[name], held = None, self.budget.reserve_memory(size)
         try:
             await self._attend(client, pending, *message)
         except Exception as problem:
@@ -401,7 +405,7 @@
             client.close(CloseReason.FAILURE)
         finally:
             del self.names[name]
-            self.budget.let_go(size if held else 0)
+            self.budget.release_memory(size if held else 0)
 
     def departs(self, client: Client) -> None:
         """It is sent away, or closed: the first to give way."""
@@ -424,7 +428,7 @@
     def movable(self, client: Client) -> bool:
         """Its task may go over: nothing else is read from it, and no answer begun."""
         return client.pending is not None and not (
-            client.gone or client.closing or client.leaving or client.parser.partial or client.waiting
+            client.gone or client.closing or client.leaving or client.parser.is_partial or client.waiting
         )
 
     def move(self, client: Client) -> None:
@@ -454,7 +458,7 @@
                 still = now - client.heard_at
                 if client.busy or client.closing or client.leaving or still < READ_TIME:
                     continue
-                if client.parser.partial:
+                if client.parser.is_partial:
                     client.leave(TOO_SLOW, "a message that does not end")
                 elif (not client.known or still > IDLE_TIME) and client.idle():
                     client.close(CloseReason.IDLE if client.known else CloseReason.SILENT)
@@ -466,7 +470,9 @@
         for client in list(self.open):
             if (client.used or client.heard_at < new) and client.idle():
                 client.close(CloseReason.STOPPING)
-            elif final and client.parser.partial and not (client.owes() or client.leaving or client.closing):
+            elif (
+                final and client.parser.is_partial and not (client.owes() or client.leaving or client.closing)
+            ):
                 client.refuse(NO_ROOM, CloseReason.STOPPING)
 
     def check_closed(self, client: Client) -> None:
@@ -527,7 +533,7 @@
             log_exception("attending to a client", problem)
             client.close(CloseReason.FAILURE)
         finally:
-            self.budget.let_go(len(body))
+            self.budget.release_memory(len(body))
 
     async def _task(
         self, client: Client, target: bytes, headers: dict, body: bytes, keep: bool, came_at: float
@@ -574,7 +580,7 @@
             )
             return
         client.pending, client.known, self.names[name] = pending, True, None
-        pending.has_client_left = partial(hung_up, client.sock)
+        pending.has_client_left = partial(has_hung_up, client.sock)
         client.message = name, target, headers, body, keep
         if client.gone:
             self.dispatcher.report_client_left(pending)
@@ -586,7 +592,7 @@
     async def _settled(self, client: Client) -> bool:
         """Moves it to a common descriptor; those that say nothing may give way a moment later."""
         end = monotonic() + 2 * SETTLED
-        while not client.gone and not self.budget.settle():
+        while not client.gone and not self.budget.move_off_spare():
             if monotonic() > end:
                 return False
             await asyncio.sleep(0.01)
@@ -665,6 +671,6 @@
         ]
         if b"idempotency-key" in headers:
             lines.append((b"Idempotency-Key", headers[b"idempotency-key"]))
-        return http.ask(b"POST", target, lines, body)
+        return http.encode_request(b"POST", target, lines, body)
 
     return message
--- a/firwalk/net/control_channel.py
+++ b/firwalk/net/control_channel.py
@@ -27,7 +27,7 @@
 from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
 from firwalk.net.opening import SHORT_OF_RESOURCES
 from firwalk.net.restart_messages import PROTOCOL_VERSION, WireObject
-from firwalk.net.waiting import readable
+from firwalk.net.waiting import wait_readable
 from firwalk.observability.log import log_exception, log_external
 
 RETRY_INTERVAL_S = 0.1
@@ -163,7 +163,7 @@
         while b"\n" not in self._received:
             if not self._read():
                 self._reads_in_a_row = 0
-                await readable(self.sock)
+                await wait_readable(self.sock)
         line, _, self._received = self._received.partition(b"\n")
         return self._decode_line(line)
 
@@ -314,7 +314,7 @@
     async def _accept(self, listener: socket.socket) -> None:
         while True:
             try:
-                await readable(listener)
+                await wait_readable(listener)
                 sock, _ = listener.accept()
             except OSError:
                 await asyncio.sleep(RETRY_INTERVAL_S)
--- a/firwalk/net/discovery.py
+++ b/firwalk/net/discovery.py
@@ -12,7 +12,7 @@
 from firwalk.net import http, listing
 from firwalk.net.address import host_header, new_socket
 from firwalk.net.buffers import Buffers
-from firwalk.net.waiting import connected
+from firwalk.net.waiting import connect
 from firwalk.observability.log import log_exception, log_external
 
 # What discovery has to tell counts as known six seconds later, whatever failed before. A watch that falls
@@ -90,11 +90,11 @@
         view = memoryview(buffer)
         try:
             async with asyncio.timeout(CONNECT_TIME):
-                await connected(sock, address)
-            parser = http.Answers(told.began, told.line, told.ended, told.blank)
+                await connect(sock, address)
+            parser = http.ResponseParser(told.began, told.line, told.ended, told.blank)
             told.begin()
             async with asyncio.timeout(told.left()):
-                await loop.sock_sendall(sock, http.ask(b"GET", target, [host_header(address)]))
+                await loop.sock_sendall(sock, http.encode_request(b"GET", target, [host_header(address)]))
             while not told.over:
                 async with asyncio.timeout(told.left()):
                     count = await loop.sock_recv_into(sock, buffer)
--- a/firwalk/net/executors.py
+++ b/firwalk/net/executors.py
@@ -21,7 +21,7 @@
 from firwalk.net.address import host_header, new_socket
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
-from firwalk.net.waiting import connected, received
+from firwalk.net.waiting import connect, receive_into
 from firwalk.observability.events import CloseReason, Event, EventLog
 from firwalk.observability.log import check_invariant, log_exception, log_external
 from firwalk.policy.interface import Outcome
@@ -59,7 +59,7 @@
         self.seen = b""  # of the answer in hand
         self.heir: Callable[[socket.socket], None] | None = None  # who gets it when its reader has let go
         self.close_reason = CloseReason.PEER_LEFT  # until it is ended here
-        self.parser = http.Answers(self._began, self._line, self._ended)
+        self.parser = http.ResponseParser(self._began, self._line, self._ended)
         self.reading = asyncio.get_running_loop().create_task(self._read())
         self.reading.add_done_callback(self._closed)
 
@@ -112,7 +112,7 @@
         buffer = self.pool.buffers.take()
         view = memoryview(buffer)
         try:
-            while count := await received(self.sock, buffer):
+            while count := await receive_into(self.sock, buffer):
                 self.came(view[:count])
         except OSError:
             pass
@@ -307,7 +307,7 @@
         self.trips: dict[Endpoint, float] = {}  # the shortest times to it and back
         self.short_at: dict[Endpoint, float] = {}  # when a kept connection ended early last
         self.dead: deque[tuple[float, float]] = deque(maxlen=DEAD_MOST)  # when, and how long idle
-        budget.shed_link = self.shed
+        budget.evict_executor = self.shed
 
     # -- the pool ----------------------------------------------------------------------------------------
 
@@ -324,7 +324,7 @@
         self.dispatcher.report_idle(link.place, len(self.idle[link.place]))
 
     def closed(self, link: Link, by_itself: bool) -> None:
-        self.budget.close_link()
+        self.budget.close_executor()
         del self.links[link]
         idle = self.idle.get(link.place, [])
         if link in idle:
@@ -347,7 +347,7 @@
     def adopt(self, place: Endpoint, sock: socket.socket, idle_since: float, trip: float | None) -> None:
         """A connection that another process of this node had: counted there until now, it fits."""
         sock.setblocking(False)
-        self.budget.adopt_link()
+        self.budget.adopt_executor()
         link = Link(self, place, sock)
         self.links[link] = None
         link.address = sock.getpeername()[:2]  # it may be of an executor that has moved
@@ -417,11 +417,11 @@
         try:
             sock = new_socket(place.address)
             async with asyncio.timeout(self.connect_time):
-                await connected(sock, place.address)
+                await connect(sock, place.address)
         except BaseException:
             if sock is not None:
                 sock.close()
-            self.budget.close_link()
+            self.budget.close_executor()
             raise
         self.came(place, monotonic() - began)
         link = Link(self, place, sock)
@@ -488,7 +488,7 @@
         """Waits for a descriptor, or a connection that becomes free meanwhile. Ended at once for lack of one,
         a task would spend all its assignments in a moment."""
         end = monotonic() + self.connect_time
-        while not self.budget.open_link():
+        while not self.budget.open_executor():
             if monotonic() > end:
                 raise NoDescriptor
             await asyncio.sleep(WAIT)
@@ -528,7 +528,7 @@
         """An assignment that another process sent goes on here, behind what has come of its answer."""
         place, exchange = pending.request.attempts[number].executor.ref, Exchange(self, pending, number, name)
         sock.setblocking(False)
-        self.budget.adopt_link()
+        self.budget.adopt_executor()
         link = Link(self, place, sock)
         link.exchange, exchange.link, self.links[link] = exchange, link, None
         self.carried[pending, number] = exchange, asyncio.get_running_loop().create_future()
@@ -553,7 +553,7 @@
         probe = Probe(self.dispatcher, place, link is not None)
         if link is None:
             short = self.short_at.get(place, 0.0) > monotonic() - SHORT_MEMORY
-            if short or not self.budget.open_link(probe=True):
+            if short or not self.budget.open_executor(is_health_check=True):
                 return
             try:
                 link = await self._opened(place)
@@ -563,7 +563,7 @@
         link.exchange = probe
         try:
             async with asyncio.timeout(limit):
-                await link.write(http.ask(b"GET", b"/_load", [host_header(place.address)]))
+                await link.write(http.encode_request(b"GET", b"/_load", [host_header(place.address)]))
                 await probe.over
         except TimeoutError:
             probe.end(Outcome.TIMED_OUT)
--- a/firwalk/net/http.py
+++ b/firwalk/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 taken apart by httptools, within limits, and put together."""
+"""HTTP/1.1: incremental parsers on httptools, with limits, and the encoding of requests and responses."""
 
 from __future__ import annotations
 
@@ -12,13 +12,42 @@
     HttpResponseParser,
 )
 
-GO_ON = b"HTTP/1.1 100 Continue\r\n\r\n"
-MOST_BODY = 65536
-MOST_HEAD = 16384
-LENGTHS = (b"content-length", b"transfer-encoding")
-ONCE = frozenset(
+Headers = dict[bytes, bytes]  # names in lower case
+
+OK = 200
+BAD_REQUEST = 400
+NOT_FOUND = 404
+METHOD_NOT_ALLOWED = 405
+REQUEST_TIMEOUT = 408
+CONFLICT = 409
+CONTENT_TOO_LARGE = 413
+HEADERS_TOO_LARGE = 431
+INTERNAL_SERVER_ERROR = 500
+SERVICE_UNAVAILABLE = 503
+REASON_PHRASES = {
+    OK: "OK",
+    BAD_REQUEST: "Bad Request",
+    NOT_FOUND: "Not Found",
+    METHOD_NOT_ALLOWED: "Method Not Allowed",
+    REQUEST_TIMEOUT: "Request Timeout",
+    CONFLICT: "Conflict",
+    CONTENT_TOO_LARGE: "Content Too Large",
+    429: "Too Many Requests",
+    HEADERS_TOO_LARGE: "Request Header Fields Too Large",
+    INTERNAL_SERVER_ERROR: "Internal Server Error",
+    SERVICE_UNAVAILABLE: "Service Unavailable",
+    504: "Gateway Timeout",
+}
+UNKNOWN_REASON_PHRASE = "Answer"
+
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+MAX_BODY_BYTES = 65536
+MAX_HEAD_BYTES = 16384
+MAX_LINE_BYTES = 1 << 22  # of a line in a stream: the whole list of a large fleet is one
+LENGTH_HEADERS = (b"content-length", b"transfer-encoding")
+SINGLETON_HEADERS = frozenset(
     (
-        *LENGTHS,
+        *LENGTH_HEADERS,
         b"host",
         b"x-request-id",
         b"x-tenant",
@@ -29,166 +58,210 @@
         b"x-extras",
     )
 )
-MOST_LINE = 1 << 22  # of a line in a stream: the whole list of a large fleet is one
-REASONS = {
-    200: "OK",
-    400: "Bad Request",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    409: "Conflict",
-    413: "Content Too Large",
-    429: "Too Many Requests",
-    431: "Request Header Fields Too Large",
-    500: "Internal Server Error",
-    503: "Service Unavailable",
-    504: "Gateway Timeout",
-}
 
 
 class Malformed(Exception):
-    """Bytes that are no HTTP, or more than is allowed; `status` is what a client is told."""
+    """Bytes that are not HTTP, or exceed a limit; `status` is what a client is answered."""
 
-    def __init__(self, status: int, what: str):
+    def __init__(self, status: int, what: str) -> None:
         super().__init__(what)
         self.status = status
 
 
-class _Reader:
-    """Counts sizes and keeps the head of the message in hand."""
+class _MessageParser:
+    """What both parsers share: the head of the current message, and limits on sizes."""
+
+    parser: HttpRequestParser | HttpResponseParser
 
     def __init__(self) -> None:
-        self.size, self.headers, self.body_size = 0, {}, 0
+        self.head_size = 0
+        self.headers: Headers = {}
+        self.body_size = 0
         self.problem: Malformed | None = None
-        self.parser = None
 
-    def _too_much(self, status: int, what: str) -> None:
+    def _fail(self, status: int, what: str) -> None:
         self.problem = Malformed(status, what)
         raise self.problem
 
     def on_message_begin(self) -> None:
-        self.size, self.headers, self.body_size = 0, {}, 0
+        """Called by httptools."""
+        self.head_size = 0
+        self.headers = {}
+        self.body_size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.size += len(name) + len(value)
-        if self.size > MOST_HEAD:
-            self._too_much(431, "a head over the limit")
+        """Called by httptools."""
+        self.head_size += len(name) + len(value)
+        if self.head_size > MAX_HEAD_BYTES:
+            self._fail(HEADERS_TOO_LARGE, "a head over the limit")
         self.headers[name.lower()] = value.strip(b" \t")  # blanks round a value are no part of it
 
-    def feed(self, data: memoryview) -> None:
+    def feed(self, data: bytes | memoryview) -> None:
+        """Parses the next bytes, calling back for what they complete. Raises Malformed."""
         try:
             self.parser.feed_data(data)
         except HttpParserUpgrade as problem:
-            raise Malformed(400, "an upgrade is not offered") from problem
+            raise Malformed(BAD_REQUEST, "an upgrade is not offered") from problem
         except HttpParserCallbackError as problem:
             raise (self.problem or problem.__context__ or problem) from None
         except HttpParserError as problem:
-            raise self.problem or Malformed(400, f"not HTTP: {problem}") from problem
+            raise self.problem or Malformed(BAD_REQUEST, f"not HTTP: {problem}") from problem
+
 
+class RequestParser(_MessageParser):
+    """Parses what a client sends.
 
-class Incoming(_Reader):
-    """What a client sends: `came(method, target, headers, body, keep)` for each whole message. `hold` is
-    asked for the room that a body takes, as it comes; `drop` gives back that of an unfinished one."""
+    `on_request(method, target, headers, body, keep_alive)` is called for each complete request. A body takes
+    memory as it comes: `reserve_memory` says whether there is any, `discard_body` releases that of an
+    incomplete request, and whoever gets a complete request releases the memory of its body.
+    """
 
-    def __init__(self, came: Callable, hold: Callable[[int], bool], let_go: Callable[[int], None]):
+    def __init__(
+        self,
+        on_request: Callable[[bytes, bytes, Headers, bytes, bool], None],
+        reserve_memory: Callable[[int], bool],
+        release_memory: Callable[[int], None],
+    ) -> None:
         super().__init__()
-        self.came, self.hold, self.let_go = came, hold, let_go
-        self.target, self.parts, self.partial, self.in_head = b"", [], False, False
-        self.expects = False  # its client waits for the word before it sends the body
-        self.parser = HttpRequestParser(self)
+        self.on_request = on_request
+        self.reserve_memory = reserve_memory
+        self.release_memory = release_memory
+        self.target = b""
+        self.body_parts: list[bytes] = []
+        self.is_partial = False  # a request has begun, and is not complete
+        self.is_in_head = False
+        self.expects_continue = False  # the client waits for a 100 before it sends the body
+        self.parser: HttpRequestParser = HttpRequestParser(self)
 
     def on_message_begin(self) -> None:
+        """Called by httptools."""
         super().on_message_begin()
-        self.target, self.parts, self.partial, self.in_head = b"", [], True, True
+        self.target = b""
+        self.body_parts = []
+        self.is_partial = True
+        self.is_in_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if name.lower() in ONCE and name.lower() in self.headers and self.in_head:
-            self._too_much(400, "a header that may stand once stands twice")
-        before = self.headers
-        if not self.in_head:  # behind the body: counted, but it must not change what the head said
+        """Called by httptools, for trailers too: these count, but must not change what the head said."""
+        if name.lower() in SINGLETON_HEADERS and name.lower() in self.headers and self.is_in_head:
+            self._fail(BAD_REQUEST, "a header that may stand once stands twice")
+        head = self.headers
+        if not self.is_in_head:
             self.headers = {}
         super().on_header(name, value)
-        self.headers = before
+        self.headers = head
 
     def on_headers_complete(self) -> None:
-        """Two lengths, however spelled, may hide another task in the body."""
-        self.in_head = False
-        told = [name for name in self.headers if name.replace(b"_", b"-") in LENGTHS]
-        if len(told) > 1 or told and told[0] not in LENGTHS:
-            self._too_much(400, "a length told in two ways")
-        if self.headers.get(LENGTHS[1], b"chunked").lower() != b"chunked":
-            self._too_much(400, "a coding that is not known")
-        if int(self.headers.get(LENGTHS[0], 0)) > MOST_BODY:
-            self._too_much(413, "a body over the limit")
-        self.expects = self.headers.get(b"expect", b"").lower() == b"100-continue" and (
+        """Called by httptools. Two lengths, however spelled, may hide another request in the body."""
+        self.is_in_head = False
+        lengths = [name for name in self.headers if name.replace(b"_", b"-") in LENGTH_HEADERS]
+        if len(lengths) > 1 or lengths and lengths[0] not in LENGTH_HEADERS:
+            self._fail(BAD_REQUEST, "a length told in two ways")
+        if self.headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
+            self._fail(BAD_REQUEST, "a coding that is not known")
+        if int(self.headers.get(b"content-length", 0)) > MAX_BODY_BYTES:
+            self._fail(CONTENT_TOO_LARGE, "a body over the limit")
+        self.expects_continue = self.headers.get(b"expect", b"").lower() == b"100-continue" and (
             self.parser.get_http_version() != "1.0"
         )
 
-    def drop(self) -> None:
-        self.let_go(sum(map(len, self.parts)))
-        self.parts = []
+    def discard_body(self) -> None:
+        """Drops the body of an incomplete request, and releases its memory."""
+        self.release_memory(sum(map(len, self.body_parts)))
+        self.body_parts = []
 
     def on_url(self, part: bytes) -> None:
+        """Called by httptools."""
         self.target += part
-        if len(self.target) > MOST_HEAD:
-            self._too_much(431, "a target over the limit")
+        if len(self.target) > MAX_HEAD_BYTES:
+            self._fail(HEADERS_TOO_LARGE, "a target over the limit")
 
     def on_body(self, part: bytes) -> None:
-        self.expects = False
+        """Called by httptools."""
+        self.expects_continue = False
         self.body_size += len(part)
-        if self.body_size > MOST_BODY:
-            self._too_much(413, "a body over the limit")
-        if not self.hold(len(part)):
-            self._too_much(503, "bodies fill their share of the memory")
-        self.parts.append(part)
+        if self.body_size > MAX_BODY_BYTES:
+            self._fail(CONTENT_TOO_LARGE, "a body over the limit")
+        if not self.reserve_memory(len(part)):
+            self._fail(SERVICE_UNAVAILABLE, "bodies fill their share of the memory")
+        self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        self.partial, self.expects, body = False, False, b"".join(self.parts)
-        self.parts = []
-        self.came(self.parser.get_method(), self.target, self.headers, body, self.parser.should_keep_alive())
+        """Called by httptools."""
+        self.is_partial = False
+        self.expects_continue = False
+        body = b"".join(self.body_parts)
+        self.body_parts = []
+        parser = self.parser
+        self.on_request(parser.get_method(), self.target, self.headers, body, parser.should_keep_alive())
 
 
-class Answers(_Reader):
-    """What an executor or the list's service answers: a status, then lines as they come, then its end. Empty
-    lines are told apart from others, where that is wanted."""
+def _ignore_blank_line() -> None:
+    pass
 
-    def __init__(self, began: Callable, line: Callable, ended: Callable, blank: Callable = lambda: None):
+
+class ResponseParser(_MessageParser):
+    """Parses what an executor or the discovery service answers: a head, lines as they come, and an end.
+
+    Empty lines are reported apart from others, to whoever wants them.
+    """
+
+    def __init__(
+        self,
+        on_head: Callable[[int, Headers], None],
+        on_line: Callable[[bytes], None],
+        on_end: Callable[[bool], None],
+        on_blank_line: Callable[[], None] = _ignore_blank_line,
+    ) -> None:
         super().__init__()
-        self.began, self.line, self.ended, self.blank, self.rest = began, line, ended, blank, b""
-        self.parser = HttpResponseParser(self)
+        self.on_head = on_head
+        self.on_line = on_line
+        self.on_end = on_end
+        self.on_blank_line = on_blank_line
+        self.partial_line = b""
+        self.parser: HttpResponseParser = HttpResponseParser(self)
 
     def on_headers_complete(self) -> None:
-        self.rest = b""
-        self.began(self.parser.get_status_code(), self.headers)
+        """Called by httptools."""
+        self.partial_line = b""
+        self.on_head(self.parser.get_status_code(), self.headers)
 
     def on_body(self, part: bytes) -> None:
-        *lines, self.rest = (self.rest + part).split(b"\n")
+        """Called by httptools."""
+        *lines, self.partial_line = (self.partial_line + part).split(b"\n")
         for line in lines:
             if line.strip():
-                self.line(line)
+                self.on_line(line)
             else:
-                self.blank()
-        if len(self.rest) > MOST_LINE:
-            self._too_much(400, "a line over the limit")
+                self.on_blank_line()
+        if len(self.partial_line) > MAX_LINE_BYTES:
+            self._fail(BAD_REQUEST, "a line over the limit")
 
     def on_message_complete(self) -> None:
-        if self.rest.strip():
-            self.line(self.rest)
-        self.rest = b""
-        self.ended(self.parser.should_keep_alive())
-
-
-def answer(status: int, body: bytes = b"", keep: bool = True, advice: float = 0.0) -> bytes:
-    more = f"Retry-After: {advice:.3f}\r\n" if advice > 0.0 else ""
-    more += "" if keep else "Connection: close\r\n"
-    return (
-        f"HTTP/1.1 {status} {REASONS.get(status, 'Answer')}\r\nContent-Length: {len(body)}\r\n{more}\r\n"
-    ).encode() + body
-
-
-def ask(method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes | None = None) -> bytes:
+        """Called by httptools."""
+        if self.partial_line.strip():
+            self.on_line(self.partial_line)
+        self.partial_line = b""
+        self.on_end(self.parser.should_keep_alive())
+
+
+def encode_response(
+    status: int, body: bytes = b"", keep_alive: bool = True, retry_after_s: float = 0.0
+) -> bytes:
+    """The bytes of a response; without Retry-After where that is 0."""
+    reason = REASON_PHRASES.get(status, UNKNOWN_REASON_PHRASE)
+    retry_after = f"Retry-After: {retry_after_s:.3f}\r\n" if retry_after_s > 0.0 else ""
+    connection = "" if keep_alive else "Connection: close\r\n"
+    head = f"HTTP/1.1 {status} {reason}\r\nContent-Length: {len(body)}\r\n{retry_after}{connection}\r\n"
+    return head.encode() + body
+
+
+def encode_request(
+    method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes | None = None
+) -> bytes:
+    """The bytes of a request; without Content-Length where there is no body."""
     lines = [b"%s %s HTTP/1.1" % (method, target)]
-    lines += [b"%s: %s" % pair for pair in headers]
+    lines += [b"%s: %s" % header for header in headers]
     if body is not None:
         lines.append(b"Content-Length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + (body or b"")
--- a/firwalk/net/restart_predecessor.py
+++ b/firwalk/net/restart_predecessor.py
@@ -172,7 +172,7 @@
         needed = max(min(SPARE_DESCRIPTORS + len(service.clients.open), available), 0)
         if self._reported_descriptors != in_use + needed:
             self._reported_descriptors = in_use + needed
-            service.budget.keep_to(needed)
+            service.budget.limit_to_current(needed)
             channel.send(DescriptorsHeld(self._reported_descriptors).to_wire())
 
     def is_sending(self) -> bool:
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -220,7 +220,7 @@
         return [self.listener] + ([self.peers.sock] if self.peers.sock is not None else [])
 
     def limit(self, descriptors: int, part: float) -> None:
-        self.budget.limit(descriptors, int(self.memory * part))
+        self.budget.set_limits(descriptors, int(self.memory * part))
 
     def stop_accepting(self) -> list[socket.socket]:
         """The other process accepts; what was accepted and not let in yet goes to it."""
--- a/firwalk/net/waiting.py
+++ b/firwalk/net/waiting.py
@@ -1,5 +1,4 @@
-"""Waiting until a socket can be read, taking nothing from it: a wait that is cancelled loses nothing. Waiting
-until it is connected, on this thread alone."""
+"""Awaitable operations on sockets that lose nothing when they are cancelled, on the event loop's thread."""
 
 from __future__ import annotations
 
@@ -10,47 +9,53 @@
 import socket
 
 
-async def readable(sock: socket.socket) -> None:
-    """`sock_recv` and `sock_accept` take what came before the task that waits is run again; cancelled in
-    between, a task's bytes or a whole connection would be gone."""
+async def wait_readable(sock: socket.socket) -> None:
+    """Waits until the socket can be read, and takes nothing from it.
+
+    The loop's `sock_recv` and `sock_accept` take what has come before the waiting task runs again: cancelled
+    in between, it would lose bytes or a whole connection.
+    """
     loop = asyncio.get_running_loop()
     ready = loop.create_future()
-    loop.add_reader(sock, _now, ready)
+    loop.add_reader(sock, _set_ready, ready)
     try:
         await ready
     finally:
         loop.remove_reader(sock)
 
 
-async def received(sock: socket.socket, buffer: bytearray) -> int:
-    """Waits for bytes and takes them in one step."""
+async def receive_into(sock: socket.socket, buffer: bytearray) -> int:
+    """Waits for bytes, and takes them in one step; 0 at the end of the stream. Raises OSError."""
     while True:
-        await readable(sock)
+        await wait_readable(sock)
         try:
             return sock.recv_into(buffer)
         except BlockingIOError:
             pass
 
 
-async def connected(sock: socket.socket, address: tuple[str, int]) -> None:
-    """Connects to an address in numbers. OSError. The loop's `sock_connect` looks even numbers up, on threads
-    of its own: one that is not done when the loop is closed ends in an error there, whoever waited."""
-    problem = sock.connect_ex(address)
-    if problem == errno.EINPROGRESS:
+async def connect(sock: socket.socket, address: tuple[str, int]) -> None:
+    """Connects to a numeric address. Raises OSError.
+
+    The loop's `sock_connect` resolves even numeric addresses, on threads of its own: one that is not done
+    when the loop is closed fails there, after whoever waited is gone.
+    """
+    error_number = sock.connect_ex(address)
+    if error_number == errno.EINPROGRESS:
         loop = asyncio.get_running_loop()
         ready = loop.create_future()
-        loop.add_writer(sock, _now, ready)
+        loop.add_writer(sock, _set_ready, ready)
         try:
             await ready
         finally:
             loop.remove_writer(sock)
-        problem = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-    if problem:
-        raise OSError(problem, os.strerror(problem))
+        error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    if error_number:
+        raise OSError(error_number, os.strerror(error_number))
 
 
-def hung_up(sock: socket.socket) -> bool:
-    """Whether the other side has closed or reset it, also where bytes that came before that are unread."""
+def has_hung_up(sock: socket.socket) -> bool:
+    """Whether the peer has closed or reset the connection, also where earlier bytes are still unread."""
     try:
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP)
@@ -59,6 +64,6 @@
         return True
 
 
-def _now(ready: asyncio.Future) -> None:
+def _set_ready(ready: asyncio.Future[None]) -> None:
     if not ready.done():
         ready.set_result(None)
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -201,7 +201,7 @@
     exchange = executors.Exchange(
         SimpleNamespace(dispatcher=dispatcher, carried={}), PendingRequest(), 0, b"r1"
     )
-    parser = http.Answers(exchange.began, exchange.line, lambda keep: exchange.whole())
+    parser = http.ResponseParser(exchange.began, exchange.line, lambda keep: exchange.whole())
     parser.feed(memoryview(answer))
     assert told == reports
 
@@ -234,7 +234,7 @@
 )
 def test_answer_to_a_client(status, body, keep, advice, text):
     """Head and body of an answer."""
-    assert http.answer(status, body, keep, advice) == text
+    assert http.encode_response(status, body, keep, advice) == text
 
 
 @pytest.mark.parametrize(
@@ -254,7 +254,7 @@
 )
 def test_error_to_a_client(status, first):
     """An error has no body."""
-    assert http.answer(status) == first + b"\r\nContent-Length: 0\r\n\r\n"
+    assert http.encode_response(status) == first + b"\r\nContent-Length: 0\r\n\r\n"
 
 
 def conversation(
--- a/tests/soak/faulty.py
+++ b/tests/soak/faulty.py
@@ -48,13 +48,13 @@
 
 
 def answers_twice():
-    due, real = doubles.every(20), clients.http.answer
+    due, real = doubles.every(20), clients.http.encode_response
 
     def answer(status, *rest, **more):
         data = real(status, *rest, **more)
         return data + data if status == 200 and due() else data
 
-    clients.http.answer = answer
+    clients.http.encode_response = answer
 
 
 def promises_falsely():
@@ -78,7 +78,7 @@
 
     clients.Clients._task = task
     dispatcher.Dispatcher.report_client_left = lambda self, pending, reason="": None
-    clients.hung_up = lambda sock: False
+    clients.has_hung_up = lambda sock: False
 
 
 def tells_more_time_than_is_left():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -399,7 +399,10 @@
 
     async def run():
         clients = some_clients(64)
-        clients.budget.clients, clients.budget.spare = clients.budget.most, clients.budget.most_spare
+        clients.budget.clients, clients.budget.spare = (
+            clients.budget.max_connections,
+            clients.budget.max_spare,
+        )
         service = SimpleNamespace(
             clients=clients,
             listener=socket.create_server(("127.0.0.1", 0)),
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -27,7 +27,7 @@
 from firwalk.net.executors import Exchange, Executors, Link
 from firwalk.net.service import Service
 from firwalk.net.turns import Turns
-from firwalk.net.waiting import connected
+from firwalk.net.waiting import connect
 from firwalk.observability.events import CloseReason
 from firwalk.policy.interface import EndpointState, Outcome
 
@@ -284,7 +284,7 @@
         ours.setblocking(False)
         ends, place = [], Endpoint("e0", ("127.0.0.1", 1))
         pool = Executors(dispatcher(ends), Budget(64, 10**8), Buffers(), 0.25, 60.0)
-        pool.budget.open_link()
+        pool.budget.open_executor()
         link = Link(pool, place, ours)
         pool.links[link] = None
         link.exchange = Exchange(pool, PendingRequest(), 0, b"t1")
@@ -295,7 +295,7 @@
         else:
             theirs.close()
         await asyncio.wait([link.reading, writing], timeout=2)
-        assert ends == how and not pool.idle and pool.budget.links == 0 and ours.fileno() == -1
+        assert ends == how and not pool.idle and pool.budget.executors == 0 and ours.fileno() == -1
         assert writing.cancelled() if comes else isinstance(writing.exception(), ConnectionError)
 
     asyncio.run(run())
@@ -324,7 +324,7 @@
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         pool = Executors(dispatcher([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
-        pool.budget.open_link()
+        pool.budget.open_executor()
         link, asked = Link(pool, Endpoint("e0", ("127.0.0.1", 1)), ours), []
         pool.links[link] = None
         link.exchange = Exchange(pool, PendingRequest(), 0, b"t1")
@@ -367,7 +367,7 @@
         service.turns.soon()
         await asyncio.sleep(0.3)
         assert 10 <= len(ticks) <= 24
-        service.turns.due.cancel()
+        service.turns.scheduled.cancel()
 
     asyncio.run(run())
 
@@ -377,13 +377,13 @@
     async def run():
         ended = []
         pool = Executors(dispatcher(ended), Budget(64, 10**8), Buffers(), 0.2, 60.0)
-        pool.budget.links = pool.budget.most
+        pool.budget.executors = pool.budget.max_connections
         executor = await StandIn().open()
         place = Endpoint("e0", parse(executor.address))
         pool.carry(PendingRequest(), 0, place, b"t1", lambda: post(name="t1"))
         await asyncio.sleep(0.1)
         assert not ended and not executor.got
-        pool.budget.links -= freed
+        pool.budget.executors -= freed
         await asyncio.sleep(0.2)
         assert ended == [Outcome.COMPLETED if freed else Outcome.NOT_SENT] and len(executor.got) == freed
         pool.close_idle(place)
@@ -595,11 +595,11 @@
     async def run():
         with socket.create_server(("127.0.0.1", 0)) as server:
             with new_socket(server.getsockname()) as sock:
-                await connected(sock, server.getsockname())
+                await connect(sock, server.getsockname())
                 assert sock.getpeername() == server.getsockname()
             gone = server.getsockname()
         with new_socket(gone) as sock, pytest.raises(ConnectionRefusedError):
-            await connected(sock, gone)
+            await connect(sock, gone)
 
     asyncio.run(run())
 
@@ -624,7 +624,7 @@
         pending = dispatcher.report_request("read", "", 2.0, 0.01, 1.0, 0.0, False)
         step = await dispatcher.next_action(pending)
         executors.carry(pending, step.number, step.endpoint, b"t", lambda: b"bytes")
-        return await asyncio.wait_for(dispatcher.next_action(pending), 1), executors.budget.links
+        return await asyncio.wait_for(dispatcher.next_action(pending), 1), executors.budget.executors
 
     step, links = asyncio.run(run())
     assert isinstance(step, RejectRequest) and len(calls) == 2 and links == 0
