--- a/firwalk/lab/versions.py
+++ b/firwalk/lab/versions.py
@@ -92,16 +92,16 @@
 
 def spoilt() -> None:
     """Answers one in four tasks with other bytes than the executor's: only a check of results sees that."""
-    from firwalk.net import clients
+    from firwalk.net.client_requests import RequestHandler
 
-    real, count = clients.Clients._answer, [0]
+    real, count = RequestHandler._answer, [0]
 
     def answer(self, client, status, body, *rest, **more):
         count[0] += 1
         other = status == 200 and count[0] % 4 == 0
         real(self, client, status, b"nonsense" if other else body, *rest, **more)
 
-    clients.Clients._answer = answer
+    RequestHandler._answer = answer
 
 
 def crash() -> None:
--- /dev/null
+++ b/firwalk/net/client_requests.py
@@ -0,0 +1,274 @@
+"""Serves clients' messages: requests go to the dispatcher, whose actions are carried out up to the answer."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine, Iterable
+from functools import partial
+from time import monotonic
+from typing import TYPE_CHECKING, Any, Protocol
+
+from firwalk.dispatcher.actions import (
+    CancelAttempt,
+    CompleteRequest,
+    FailRequest,
+    RejectInvalidRequest,
+    RejectRequest,
+    SendAttempt,
+)
+from firwalk.net import fields, http
+from firwalk.net.client_connection import EVICTABLE_AFTER_S
+from firwalk.net.restart_messages import ClientRequest
+from firwalk.net.waiting import has_hung_up
+from firwalk.observability.events import CloseReason, Event, FailureReason
+from firwalk.observability.log import log_exception, log_external
+
+if TYPE_CHECKING:
+    from firwalk.dispatcher.dispatcher import Dispatcher, PendingRequest
+    from firwalk.net.budget import Budget
+    from firwalk.net.client_connection import ClientConnection, ClientMessage
+    from firwalk.net.executors import Executors
+    from firwalk.observability.monitor import Monitor
+
+HEALTH_TARGET = b"/_health"
+DEFAULT_HOST = b"backend.local"
+MAX_PROMPT_RETRIES = 2  # in a row; each further one is delayed, since others need the core
+PROMPT_RETRY_DELAY_S = 0.25
+DESCRIPTOR_TIMEOUT_S = 2 * EVICTABLE_AFTER_S  # silent connections can be evicted by then
+DESCRIPTOR_INTERVAL_S = 0.01
+MIN_DEADLINE_MS = 1
+
+
+class RequestHandler:
+    """Serves the messages of all connections, each up to its one answer."""
+
+    def __init__(
+        self, clients: ConnectionState, dispatcher: Dispatcher, executors: Executors, monitor: Monitor
+    ) -> None:
+        self.clients = clients
+        self.dispatcher = dispatcher
+        self.executors = executors
+        self.monitor = monitor
+        self.request_ids: dict[bytes, None] = {}  # of the requests in work
+
+    async def serve(self, connection: ClientConnection, message: ClientMessage) -> None:
+        """Serves a message, and releases the memory of its body."""
+        try:
+            if connection.prompt_retries > MAX_PROMPT_RETRIES and not self.clients.is_draining:
+                await asyncio.sleep(PROMPT_RETRY_DELAY_S)
+            if connection.rejection_status:  # rejected meanwhile
+                connection.is_busy = False
+                return
+            if message.method == b"POST":
+                await self._serve_request(connection, message)
+            elif message.method != b"GET":
+                await connection.answer(http.METHOD_NOT_ALLOWED, b"", message.keep_alive)
+            elif message.target != HEALTH_TARGET:
+                await connection.answer(http.NOT_FOUND, b"", message.keep_alive)
+            else:
+                status = http.SERVICE_UNAVAILABLE if self.clients.is_shutting_down else http.OK
+                await connection.answer(status, b"", message.keep_alive)
+        except Exception as problem:
+            log_exception("attending to a client", problem)
+            connection.close(CloseReason.FAILURE)
+        finally:
+            self.clients.budget.release_memory(len(message.body))
+
+    async def resume(
+        self, connection: ClientConnection, pending: PendingRequest, request: ClientRequest
+    ) -> None:
+        """Serves a request that another process of this node had."""
+        size_bytes = len(request.body)
+        self.request_ids[request.request_id] = None
+        has_memory = self.clients.budget.reserve_memory(size_bytes)
+        try:
+            await self._carry_out(connection, pending, request)
+        except Exception as problem:
+            log_exception("attending to a client of the process before", problem)
+            connection.close(CloseReason.FAILURE)
+        finally:
+            del self.request_ids[request.request_id]
+            self.clients.budget.release_memory(size_bytes if has_memory else 0)
+
+    def are_all_invalid(self, messages: Iterable[ClientMessage]) -> bool:
+        """Whether each of them can only be answered with a client error."""
+        return not any(self._is_valid(message) for message in messages)
+
+    def _is_valid(self, message: ClientMessage) -> bool:
+        if message.method == b"GET" and message.target == HEALTH_TARGET:
+            return True
+        try:
+            return message.method == b"POST" and self.dispatcher.has_request_class(
+                fields.read(message.target, message.headers)[1].request_class
+            )
+        except fields.Unreadable:
+            return False
+
+    # -- requests ------------------------------------------------------------------------------------------
+
+    async def _serve_request(self, connection: ClientConnection, message: ClientMessage) -> None:
+        keep_alive = message.keep_alive
+        try:
+            request_id, head = fields.read(message.target, message.headers)
+        except fields.Unreadable:
+            self._record_rejection(b"", http.BAD_REQUEST, FailureReason.BAD_REQUEST)
+            await connection.answer(http.BAD_REQUEST, b"", keep_alive)
+            return
+        # Only now that its bytes are read: else the answer would be lost with the connection.
+        if connection.is_spare and not await self._move_off_spare(connection):
+            log_external("no descriptor is left for a client: its task is told 503")
+            self._record_rejection(request_id, http.SERVICE_UNAVAILABLE, FailureReason.NO_DESCRIPTOR)
+            await connection.answer(http.SERVICE_UNAVAILABLE, b"", False)
+            return
+        if request_id in self.request_ids:  # executors could not tell two requests of one id apart
+            self._record_rejection(request_id, http.CONFLICT, FailureReason.DUPLICATE_ID)
+            await connection.answer(http.CONFLICT, b"", keep_alive)
+            return
+        pending = self.dispatcher.report_request(
+            head.request_class,
+            head.tenant,
+            head.budget_s,
+            head.cost_s,
+            head.slots,
+            head.memory,
+            head.is_retry,
+            marked=head.has_idempotency_key,
+            waited=monotonic() - message.received_at,
+            key=head.routing_key,
+            request_id=request_id.decode("latin-1"),
+        )
+        if pending is None:
+            await self._reject_class(connection, request_id, head.request_class, keep_alive)
+            return
+        request = ClientRequest(request_id, message.target, message.headers, message.body, keep_alive)
+        connection.pending = pending
+        connection.message = request
+        connection.has_sent_request = True
+        self.request_ids[request_id] = None
+        pending.has_client_left = partial(has_hung_up, connection.sock)
+        if connection.has_ended:
+            self.dispatcher.report_client_left(pending)
+        try:
+            await self._carry_out(connection, pending, request)
+        finally:
+            del self.request_ids[request_id]
+
+    async def _move_off_spare(self, connection: ClientConnection) -> bool:
+        """Waits for an ordinary descriptor; False if none is left in time, or the client has gone."""
+        end = monotonic() + DESCRIPTOR_TIMEOUT_S
+        while not connection.has_ended and not self.clients.budget.move_off_spare():
+            if monotonic() > end:
+                return False
+            await asyncio.sleep(DESCRIPTOR_INTERVAL_S)
+        if connection.has_ended:
+            return False
+        connection.is_spare = False
+        return True
+
+    async def _reject_class(
+        self, connection: ClientConnection, request_id: bytes, request_class: str, keep_alive: bool
+    ) -> None:
+        """Answers a request whose class does not exist, or needs an idempotency key that is missing."""
+        if request_class in self.dispatcher.removed_classes:  # nothing has run: a retry elsewhere is harmless
+            self._record_rejection(request_id, http.SERVICE_UNAVAILABLE, FailureReason.CLASS_GONE)
+            retry_after_s = self.dispatcher.policy.max_retry_after
+            await connection.answer(http.SERVICE_UNAVAILABLE, b"", keep_alive, retry_after_s)
+            return
+        is_known = request_class in self.dispatcher.request_classes
+        self._record_rejection(request_id, http.BAD_REQUEST, FailureReason.BAD_REQUEST)
+        await connection.answer(http.BAD_REQUEST if is_known else http.NOT_FOUND, b"", keep_alive)
+
+    def _record_rejection(self, request_id: bytes, status: int, reason: FailureReason) -> None:
+        """Counts a request that is rejected before the dispatcher has taken it."""
+        self.monitor.events.record(
+            Event.REQUEST_ANSWERED, reason, request_id.decode("latin-1"), status=status
+        )
+
+    async def _carry_out(
+        self, connection: ClientConnection, pending: PendingRequest, request: ClientRequest
+    ) -> None:
+        """Carries out the dispatcher's actions, until no more can come."""
+        keep_alive = request.keep_alive
+        while (action := await self.dispatcher.next_action(pending)) is not None:
+            match action:
+                case SendAttempt():
+                    encode = attempt_encoder(
+                        request.target, request.headers, request.body, action.deadline, self.dispatcher.clock
+                    )
+                    self.executors.carry(
+                        pending,
+                        action.number,
+                        action.endpoint,
+                        request.request_id,
+                        encode,
+                        action.is_non_idempotent,
+                    )
+                case CancelAttempt():
+                    self.executors.call_off(pending, action.number)
+                case _ if connection.pending is not pending:
+                    pass  # the connection was rejected or has ended meanwhile
+                case CompleteRequest():
+                    self._answer(connection, http.OK, action.result, keep_alive)
+                case RejectRequest():
+                    self._answer(
+                        connection,
+                        http.SERVICE_UNAVAILABLE,
+                        b"",
+                        keep_alive,
+                        action.retry_after_s,
+                        pending.failure_reason,
+                    )
+                case RejectInvalidRequest():
+                    reason = FailureReason.BAD_REQUEST
+                    self._answer(connection, http.BAD_REQUEST, b"", keep_alive, reason=reason)
+                case FailRequest():
+                    reason = pending.failure_reason
+                    self._answer(connection, http.INTERNAL_SERVER_ERROR, b"", keep_alive, reason=reason)
+
+    def _answer(
+        self,
+        connection: ClientConnection,
+        status: int,
+        body: bytes,
+        keep_alive: bool,
+        retry_after_s: float = 0.0,
+        reason: str = "served",
+    ) -> None:
+        """Answers in a task of its own: a slow reader must not delay the cancelling of attempts."""
+        pending = connection.pending
+        if pending is not None and pending.record is not None:
+            self.monitor.answered(pending.record, status, reason)
+        connection.pending = None
+        self.clients.spawn(connection.answer(status, body, keep_alive, retry_after_s))
+
+
+def attempt_encoder(
+    target: bytes, headers: http.Headers, body: bytes, deadline: float, clock: Callable[[], float]
+) -> Callable[[], bytes]:
+    """Encodes an attempt when it is called: the bytes give the time left until `deadline` on `clock`."""
+
+    def encode() -> bytes:
+        time_left_ms = max(int((deadline - clock()) * 1e3), MIN_DEADLINE_MS)
+        lines = [
+            (b"Host", headers.get(b"host", DEFAULT_HOST)),
+            (b"X-Request-Id", headers[b"x-request-id"]),
+            (b"X-Deadline", b"%dm" % time_left_ms),
+        ]
+        if b"idempotency-key" in headers:
+            lines.append((b"Idempotency-Key", headers[b"idempotency-key"]))
+        return http.encode_request(b"POST", target, lines, body)
+
+    return encode
+
+
+if TYPE_CHECKING:  # the class would cost a start some time
+
+    class ConnectionState(Protocol):
+        """What serving a message uses of all connections."""
+
+        budget: Budget
+        is_shutting_down: bool
+        is_draining: bool
+
+        def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+            """Runs the coroutine in a task."""
--- a/firwalk/net/graceful_shutdown.py
+++ b/firwalk/net/graceful_shutdown.py
@@ -65,7 +65,7 @@
         now = monotonic()
         self.told_at = service.clients.stalls.running_until(now)
         self.plan = StopPlan.of(self.deadlines.shortest(now))
-        service.clients.ending = service.succession.after is None
+        service.clients.is_shutting_down = service.succession.after is None
         self.told.set()
 
     def is_requested(self) -> bool:
@@ -120,17 +120,17 @@
         final = now >= self.told_at + self.plan.answered_by
         quiet = now >= max(self.told_at + NEW_CONNECTIONS_S, clients.accepted_at + QUIET_S)
         closing = now >= self.told_at + self.plan.closing_from or quiet and not clients.open
-        clients.stopping |= closing and not service.succession.handed or final
-        if clients.stopping:
+        clients.is_draining |= closing and not service.succession.handed or final
+        if clients.is_draining:
             self._enter(ProcessState.FINAL if final else ProcessState.DRAINING)
             if final or quiet and not clients.open or now >= self.told_at + self.plan.resting_until:
                 clients.wind_down(final)
         if final and not service.succession.handed:
             self.accept_last()
-        owed = clients.open or clients.works or service.succession.sending()
+        owed = clients.open or clients.tasks or service.succession.sending()
         if owed or service.succession.handed:
             return not owed
-        return clients.stopping and (quiet or final) and self.accept_last() and not clients.open
+        return clients.is_draining and (quiet or final) and self.accept_last() and not clients.open
 
     def accept_last(self) -> bool:
         """Admits what the kernel has accepted meanwhile, and closes the listener once none is left.
@@ -162,8 +162,8 @@
     def _admit_held(self) -> None:
         """Admits the connection that was accepted while no descriptor was free."""
         clients = self.service.clients
-        held = clients.held
-        clients.held = None
+        held = clients.unadmitted
+        clients.unadmitted = None
         if held is not None:
             clients.admit(held, spare=True)
 
--- a/firwalk/net/restart_predecessor.py
+++ b/firwalk/net/restart_predecessor.py
@@ -15,7 +15,6 @@
 from firwalk.net.restart_messages import (
     PROTOCOL_VERSION,
     ClientHandover,
-    ClientRequest,
     DescriptorsHeld,
     EndpointListState,
     Hello,
@@ -31,7 +30,7 @@
 from firwalk.observability.log import log_exception, log_external
 
 if TYPE_CHECKING:
-    from firwalk.net.clients import Client
+    from firwalk.net.client_connection import ClientConnection
 
 HAND_OVER_INTERVAL_S = 0.01
 SPARE_DESCRIPTORS = 4  # beside one for each client's request
@@ -106,7 +105,7 @@
             channel.send(ClientHandover(has_sent_request).to_wire(), sock, give=True)
 
         service = self.context.service
-        service.clients.moving = hand_over_client
+        service.clients.hand_over_client = hand_over_client
         waiting = service.stop_accepting()
         channel.send(ListenerReleased().to_wire())
         for sock in waiting:
@@ -128,10 +127,10 @@
         clients = self.context.service.clients
         if self._continues_requests:
             for client in list(clients.open):
-                if clients.movable(client):
+                if client.can_hand_over_request():
                     self._hand_over_request(channel, client)  # first: their deadlines run on
         for client in list(clients.open):
-            clients.move(client)
+            clients.hand_over_if_idle(client)
 
         def hand_over_idle_connection(wire: WireObject, sock: socket.socket) -> None:
             channel.send(wire, sock, give=True)
@@ -139,11 +138,12 @@
         self.context.service.executors.hand_over(hand_over_idle_connection)
         self._report_descriptors(channel)
 
-    def _hand_over_request(self, channel: ControlChannel, client: Client) -> None:
+    def _hand_over_request(self, channel: ControlChannel, client: ClientConnection) -> None:
         """Sends a request with copies of both descriptors, so that closing ours ends neither connection."""
         executors = self.context.service.executors
         pending = client.pending
-        if pending is None:
+        client_request = client.message
+        if pending is None or client_request is None:
             return
         request = export_request(self.context.dispatcher, pending)
         if request is None or not channel.is_open:
@@ -151,12 +151,12 @@
         connection = executors.carrying(pending, request.attempt_in_flight)
         if connection is None:
             return
-        message = RequestHandover(request, monotonic(), ClientRequest(*client.message), connection.seen)
+        message = RequestHandover(request, monotonic(), client_request, connection.seen)
         channel.send(message.to_wire(), client.sock, connection.sock)
         self.handed_over_requests += 1
         executors.let_go(pending, request.attempt_in_flight)
         client.pending = None
-        client.busy = False
+        client.is_busy = False
         self.context.dispatcher.report_handed_over(pending)
         client.close(CloseReason.HANDED_OVER)
 
@@ -183,8 +183,8 @@
         """Serves as before: the successor is gone, and this process still there."""
         service = self.context.service
         self.channel = None
-        service.clients.moving = None
-        service.clients.ending = service.told_to_stop()
+        service.clients.hand_over_client = None
+        service.clients.is_shutting_down = service.told_to_stop()
         self.context.update_limits()
         if self.has_handed_over:
             log_external("the process that was to replace this one has ended; this one serves again")
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -228,11 +228,11 @@
         if self.cluster is not None:
             self.cluster.stop()
         self.peers.close()
-        held, self.clients.held = self.clients.held, None
+        held, self.clients.unadmitted = self.clients.unadmitted, None
         return [held] if held is not None else []
 
     def accept_again(self) -> None:
-        if not self.clients.stopping:
+        if not self.clients.is_draining:
             self._accept()
 
     def told_to_stop(self) -> bool:
@@ -241,7 +241,7 @@
     def _accept(self) -> None:
         self.accepting = self.loop.create_task(self.clients.accept(self.listener))
         if self.peers.sock is not None:
-            self.clients.keep(self.loop.create_task(self._speak()))
+            self.clients.spawn(self._speak())
 
     async def _speak(self) -> None:
         try:
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -8,7 +8,7 @@
 
 from firwalk.cluster import lease, plan, plan_follower
 from firwalk.dispatcher import policy_host
-from firwalk.net import clients
+from firwalk.net import client_connection, client_requests
 from firwalk.policy import policy, retries, selection, slow_start
 from firwalk.policy.interface import EndpointState, Outcome
 
@@ -26,34 +26,34 @@
 
 def forgets_an_answer():
     """One in twenty tasks has no final answer."""
-    due, real = every(20), clients.Clients._answer
+    due, real = every(20), client_requests.RequestHandler._answer
 
     def answer(self, *rest, **more):
         if not due():
             real(self, *rest, **more)
 
-    clients.Clients._answer = answer
+    client_requests.RequestHandler._answer = answer
 
 
 def answers_late(seconds=3.0):
     """One in twenty final answers is held back."""
-    due, real = every(20), clients.Client.answer
+    due, real = every(20), client_connection.ClientConnection.answer
 
     async def answer(self, *rest, **more):
         if due():
             await asyncio.sleep(seconds)
         await real(self, *rest, **more)
 
-    clients.Client.answer = answer
+    client_connection.ClientConnection.answer = answer
 
 
 def answers_with_anothers_result():
-    due, real = every(20), clients.Clients._answer
+    due, real = every(20), client_requests.RequestHandler._answer
 
     def answer(self, client, status, body, *rest, **more):
         real(self, client, status, b"made of another" if status == 200 and due() else body, *rest, **more)
 
-    clients.Clients._answer = answer
+    client_requests.RequestHandler._answer = answer
 
 
 def repeats_what_must_not_repeat():
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -16,6 +16,7 @@
 from firwalk.dispatcher.dispatcher import Dispatcher, Endpoint, PendingRequest
 from firwalk.net import (
     address,
+    client_requests,
     clients,
     cluster_commands,
     discovery,
@@ -119,7 +120,9 @@
 )
 def test_message_to_an_executor(target, headers, body, left_s, message):
     """The head that an executor gets, with the time that is left, one millisecond at least."""
-    assert clients._message(target, headers, body, 1000.0 + left_s, lambda: 1000.0)() == message
+    assert (
+        client_requests.attempt_encoder(target, headers, body, 1000.0 + left_s, lambda: 1000.0)() == message
+    )
 
 
 def test_probe_of_an_executor():
--- a/tests/soak/faulty.py
+++ b/tests/soak/faulty.py
@@ -9,7 +9,7 @@
 
 from firwalk import stop_plan
 from firwalk.dispatcher import dispatcher
-from firwalk.net import clients, graceful_shutdown
+from firwalk.net import client_connection, client_requests, clients, graceful_shutdown, http
 
 sys.path.insert(0, str(Path(__file__).parents[1] / "fleet"))  # the shim loads this file by its path alone
 import doubles
@@ -48,57 +48,57 @@
 
 
 def answers_twice():
-    due, real = doubles.every(20), clients.http.encode_response
+    due, real = doubles.every(20), http.encode_response
 
     def answer(status, *rest, **more):
         data = real(status, *rest, **more)
         return data + data if status == 200 and due() else data
 
-    clients.http.encode_response = answer
+    http.encode_response = answer
 
 
 def promises_falsely():
     """It rejects what failed, whatever has run."""
-    real = clients.Clients._answer
+    real = client_requests.RequestHandler._answer
 
     def answer(self, client, status, *rest, **more):
         real(self, client, 503 if status == 500 else status, *rest, **more)
 
-    clients.Clients._answer = answer
+    client_requests.RequestHandler._answer = answer
 
 
 def goes_on_for_who_has_left():
     """Each request waits before its first attempt, and neither the end of its connection nor the gate at the
     send stops that."""
-    real = clients.Clients._task
+    real = client_requests.RequestHandler._serve_request
 
     async def task(self, *rest):
         await asyncio.sleep(0.6)
         await real(self, *rest)
 
-    clients.Clients._task = task
+    client_requests.RequestHandler._serve_request = task
     dispatcher.Dispatcher.report_client_left = lambda self, pending, reason="": None
-    clients.has_hung_up = lambda sock: False
+    client_connection.has_hung_up = client_requests.has_hung_up = lambda sock: False
 
 
 def tells_more_time_than_is_left():
-    real = clients._message
+    real = client_requests.attempt_encoder
 
     def message(target, headers, body, end, clock):
         return real(target, headers, body, end + 1.0, clock)
 
-    clients._message = message
+    client_requests.attempt_encoder = message
 
 
 def changes_an_id():
-    due, real = doubles.every(20), clients._message
+    due, real = doubles.every(20), client_requests.attempt_encoder
 
     def message(target, headers, body, end, clock):
         if due():
             headers = headers | {b"x-request-id": b"another"}
         return real(target, headers, body, end, clock)
 
-    clients._message = message
+    client_requests.attempt_encoder = message
 
 
 def crashes():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,8 @@
 from firwalk.net.address import parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
-from firwalk.net.clients import LOOKS, READ_AHEAD, Client, Clients
+from firwalk.net.client_connection import MAX_QUEUED_MESSAGES, ClientConnection
+from firwalk.net.clients import MAX_EVICTION_CANDIDATES, Clients
 from firwalk.net.executors import Executors
 from firwalk.net.graceful_shutdown import GracefulShutdown
 from firwalk.policy.interface import Outcome
@@ -55,7 +56,9 @@
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["closes", "resets"])
-@pytest.mark.parametrize("behind", [0, 1, READ_AHEAD - 1, READ_AHEAD + 1, 4 * READ_AHEAD])
+@pytest.mark.parametrize(
+    "behind", [0, 1, MAX_QUEUED_MESSAGES - 1, MAX_QUEUED_MESSAGES + 1, 4 * MAX_QUEUED_MESSAGES]
+)
 def test_a_client_that_goes_with_messages_waiting_gets_nothing_begun(behind, reset):
     """While one waited, nothing was read and its end went unnoticed: what waited was sent on after it."""
 
@@ -138,7 +141,7 @@
         ours, _ = server.accept()
     assert clients.admit(ours)
     client = next(reversed(clients.open))
-    client.known = client.used = known
+    client.has_sent_request = client.has_sent_message = known
     return client, theirs
 
 
@@ -153,15 +156,15 @@
         clients = some_clients()
         client, theirs = client_of(clients)
         await asyncio.sleep(0)
-        client.busy, closing = True, client.sock.shutdown
+        client.is_busy, closing = True, client.sock.shutdown
 
         def crossing(*how):  # in the moment before the end is written
             theirs.sendall(b"more")
             time.sleep(0.01)
             return closing(*how)
 
-        monkeypatch.setattr(Client, "_read_up", lambda self: theirs.sendall(b"more") or False)
-        answering = asyncio.create_task(client.answer(200, b"result", keep=False))
+        monkeypatch.setattr(ClientConnection, "_is_fully_read", lambda self: theirs.sendall(b"more") or False)
+        answering = asyncio.create_task(client.answer(200, b"result", keep_alive=False))
         await asyncio.sleep(0.2)
         theirs.settimeout(1.0)
         got = b""
@@ -181,20 +184,20 @@
 
     async def run():
         clients = some_clients()
-        clients.stopping = True
+        clients.is_draining = True
         client, theirs = client_of(clients)
         await asyncio.sleep(0)
-        client.busy = True
-        read_up = Client._read_up
+        client.is_busy = True
+        read_up = ClientConnection._is_fully_read
 
         def crossing(self):
             theirs.sendall(GET)
-            monkeypatch.setattr(Client, "_read_up", read_up)
+            monkeypatch.setattr(ClientConnection, "_is_fully_read", read_up)
             time.sleep(0.01)
             return read_up(self)
 
-        monkeypatch.setattr(Client, "_read_up", crossing)
-        await client.answer(200, b"result", keep=True)
+        monkeypatch.setattr(ClientConnection, "_is_fully_read", crossing)
+        await client.answer(200, b"result", keep_alive=True)
         await asyncio.sleep(0.1)
         clients.wind_down(False)
         await asyncio.sleep(0.05)
@@ -216,29 +219,29 @@
     anything else, and read tasks late that it took for new."""
 
     async def run():
-        looks, dispensable = [], Client.dispensable
+        looks, is_evictable = [], ClientConnection.is_evictable
 
         def counted(self, now):
             looks.append(self)
-            return dispensable(self, now)
+            return is_evictable(self, now)
 
-        monkeypatch.setattr(Client, "dispensable", counted)
-        monkeypatch.setattr("firwalk.net.clients.SETTLED", -1.0)
+        monkeypatch.setattr(ClientConnection, "is_evictable", counted)
+        monkeypatch.setattr("firwalk.net.client_connection.EVICTABLE_AFTER_S", -1.0)
         clients, ends = some_clients(), []
         for n in range(400):
             client, theirs = client_of(clients, known=False)
             ends.append(theirs)
             if n % 4 == 0:  # one that had a task, and rests
-                client.known = client.used = True
-                clients.rests(client)
+                client.has_sent_request = client.has_sent_message = True
+                clients.mark_idle(client)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-        assert len(clients.open) <= 140 and len(looks) <= 2 * 400 and LOOKS < 100
+        assert len(clients.open) <= 140 and len(looks) <= 2 * 400 and MAX_EVICTION_CANDIDATES < 100
         assert not clients.departing
         for end in ends:
             end.close()
         await asyncio.sleep(0.1)
-        assert not clients.open and not clients.untried and not clients.rested
+        assert not clients.open and not clients.without_request and not clients.idle
 
     asyncio.run(run())
 
@@ -269,10 +272,10 @@
     async def run():
         clients, served = some_clients(), []
 
-        async def serve(client, *message):
-            served.append(message[-1])
+        async def serve(connection, message):
+            served.append(message.received_at)
 
-        clients.serve = serve
+        clients.requests.serve = serve
         with socket.create_server(("127.0.0.1", 0)) as server, socket.socket() as theirs:
             theirs.connect(server.getsockname())
             theirs.sendall(post())
@@ -291,10 +294,10 @@
     async def run():
         clients, served = some_clients(), []
 
-        async def serve(client, *message):
-            served.append(message[-1])
+        async def serve(connection, message):
+            served.append(message.received_at)
 
-        clients.serve = serve
+        clients.requests.serve = serve
         with socket.create_server(("127.0.0.1", 0)) as server, socket.socket() as theirs:
             theirs.connect(server.getsockname())
             assert clients.admit(server.accept()[0])
@@ -412,7 +415,7 @@
         ends = [socket.create_connection(service.listener.getsockname()) for _ in range(5)]
         for n, theirs in enumerate(ends):
             theirs.sendall(post(name=f"t{n}"))
-        clients.held, _ = service.listener.accept()  # accepted, and waiting to be let in
+        clients.unadmitted, _ = service.listener.accept()  # accepted, and waiting to be let in
         service.accepting = asyncio.create_task(asyncio.sleep(9))
         assert GracefulShutdown(service, Deadlines(2.0)).accept_last() and len(clients.open) == 5
         await asyncio.sleep(0.5)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -22,7 +22,8 @@
 from firwalk.net.address import new_socket, parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
-from firwalk.net.clients import SETTLED, Clients
+from firwalk.net.client_connection import EVICTABLE_AFTER_S
+from firwalk.net.clients import Clients
 from firwalk.net.discovery import CALL_TIME
 from firwalk.net.executors import Exchange, Executors, Link
 from firwalk.net.service import Service
@@ -902,7 +903,7 @@
     async def story(w):
         async def ask(n):
             """On a busy machine this loop itself comes to write late: a connection that was silent for longer
-            than `SETTLED` may have given way, and its client comes again, as clients do."""
+            than `EVICTABLE_AFTER_S` may have given way, and its client comes again, as clients do."""
             for again in range(10):
                 began = time.monotonic()
                 pair = await w.connect()
@@ -910,7 +911,7 @@
                 answer = await w.ask(post(name=f"t{n}.{again}", X_Deadline="5000m"), pair)
                 if answer is not None:
                     return answer
-                assert silent > SETTLED, f"closed without an answer, silent for {silent:.3f} s"
+                assert silent > EVICTABLE_AFTER_S, f"closed without an answer, silent for {silent:.3f} s"
 
         answers = await asyncio.gather(*[ask(n) for n in range(60)])
         count = {status: sum(a[0] == status for a in answers) for status in (200, 503)}
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -188,7 +188,7 @@
         assert clients.admit(ours)
         theirs.send(b"GET /_health HTTP/1.1\r\n")
         await asyncio.sleep(0.05)
-        clients.moving = lambda known, sock: moved.set_result(sock)  # nobody looks for who is still
+        clients.hand_over_client = lambda known, sock: moved.set_result(sock)  # nobody looks for who is still
         theirs.send(b"\r\n")
         assert await asyncio.wait_for(moved, 2) is ours and not clients.open and budget.clients == 0
         assert theirs.recv(99).startswith(b"HTTP/1.1 200")
