--- a/firwalk/net/discovery.py
+++ b/firwalk/net/discovery.py
@@ -12,7 +12,7 @@
 from firwalk.net import http, listing
 from firwalk.net.address import host_header, new_socket
 from firwalk.net.buffers import Buffers
-from firwalk.net.waiting import connected
+from firwalk.net.waiting import connect
 from firwalk.observability.log import log_exception, log_external
 
 # An update counts as known to this node six seconds after it, whatever failed before. In that time must fit,
@@ -105,13 +105,13 @@
         view = memoryview(buffer)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await connected(sock, address)
-            parser = http.Answers(
+                await connect(sock, address)
+            parser = http.ResponseParser(
                 response.begin, response.receive_line, response.end, response.receive_blank_line
             )
             response.begin_request()
             async with asyncio.timeout(response.remaining_s()):
-                await loop.sock_sendall(sock, http.ask(b"GET", target, [host_header(address)]))
+                await loop.sock_sendall(sock, http.encode_request(b"GET", target, [host_header(address)]))
             while not response.has_ended:
                 async with asyncio.timeout(response.remaining_s()):
                     count = await loop.sock_recv_into(sock, buffer)
--- a/firwalk/net/executor_connection.py
+++ b/firwalk/net/executor_connection.py
@@ -15,7 +15,7 @@
 from firwalk.dispatcher.endpoint import Endpoint
 from firwalk.net import http
 from firwalk.net.buffers import Buffers
-from firwalk.net.waiting import received
+from firwalk.net.waiting import receive_into
 from firwalk.observability.events import CloseReason, Event, EventLog
 from firwalk.observability.log import log_exception, log_external
 
@@ -90,7 +90,7 @@
         self.response_bytes = b""  # of the response in flight
         self.release: Callable[[socket.socket], None] | None = None  # takes the socket instead of closing it
         self.close_reason = CloseReason.PEER_LEFT  # until it is closed here
-        self.parser = http.Answers(self._begin_response, self._receive_line, self._end_response)
+        self.parser = http.ResponseParser(self._begin_response, self._receive_line, self._end_response)
         self.reader = asyncio.get_running_loop().create_task(self._read())
         self.reader.add_done_callback(self._handle_reader_end)
 
@@ -136,7 +136,7 @@
         buffer = self.owner.buffers.take()
         view = memoryview(buffer)
         try:
-            while count := await received(self.sock, buffer):
+            while count := await receive_into(self.sock, buffer):
                 self.receive(view[:count])
         except OSError:
             pass
--- a/firwalk/net/executor_pool.py
+++ b/firwalk/net/executor_pool.py
@@ -14,7 +14,7 @@
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.executor_connection import ConnectionOwner, ExecutorConnection
-from firwalk.net.waiting import connected
+from firwalk.net.waiting import connect
 from firwalk.observability.events import CloseReason, EventLog
 
 DESCRIPTOR_POLL_INTERVAL_S = 0.01
@@ -66,7 +66,7 @@
         self.round_trips_s: dict[Endpoint, float] = {}  # the shortest ones
         self.closed_early_at: dict[Endpoint, float] = {}  # when an executor last closed an idle one early
         self.dead: deque[DeadConnection] = deque(maxlen=MAX_DEAD_CONNECTIONS)
-        budget.shed_link = self.evict_idle
+        budget.evict_executor = self.evict_idle
 
     # -- taking and putting back -------------------------------------------------------------------------
 
@@ -125,7 +125,7 @@
         Failed at once for lack of one, a request would use up all its attempts in a moment.
         """
         end = monotonic() + self.connect_timeout_s
-        while not self.budget.open_link():
+        while not self.budget.open_executor():
             if monotonic() > end:
                 raise DescriptorShortage
             await asyncio.sleep(DESCRIPTOR_POLL_INTERVAL_S)
@@ -139,7 +139,7 @@
         closed_early_at = self.closed_early_at.get(endpoint, 0.0)
         if closed_early_at > monotonic() - SHORT_IDLE_MEMORY_S:
             return False
-        return self.budget.open_link(probe=True)
+        return self.budget.open_executor(is_health_check=True)
 
     async def open(self, endpoint: Endpoint) -> ExecutorConnection:
         """Opens a connection on a reserved descriptor; raises OSError or TimeoutError."""
@@ -148,11 +148,11 @@
         try:
             sock = new_socket(endpoint.address)
             async with asyncio.timeout(self.connect_timeout_s):
-                await connected(sock, endpoint.address)
+                await connect(sock, endpoint.address)
         except BaseException:
             if sock is not None:
                 sock.close()
-            self.budget.close_link()
+            self.budget.close_executor()
             raise
         self.record_round_trip(endpoint, monotonic() - began_at)
         return self._add(endpoint, sock)
@@ -175,7 +175,7 @@
 
     def remove(self, connection: ExecutorConnection, was_closed_by_peer: bool) -> None:
         """Forgets a connection that has ended."""
-        self.budget.close_link()
+        self.budget.close_executor()
         del self.connections[connection]
         endpoint = connection.endpoint
         idle = self.idle.get(endpoint, [])
@@ -230,7 +230,7 @@
     def adopt(self, endpoint: Endpoint, sock: socket.socket) -> ExecutorConnection:
         """Takes a connection of another process of this node: counted there until now, it fits."""
         sock.setblocking(False)
-        self.budget.adopt_link()
+        self.budget.adopt_executor()
         return self._add(endpoint, sock)
 
     def adopt_idle(
--- a/firwalk/net/executors.py
+++ b/firwalk/net/executors.py
@@ -314,7 +314,9 @@
         connection.call = call
         try:
             async with asyncio.timeout(timeout_s):
-                await connection.write(http.ask(b"GET", b"/_load", [host_header(endpoint.address)]))
+                await connection.write(
+                    http.encode_request(b"GET", b"/_load", [host_header(endpoint.address)])
+                )
                 await call.done
         except TimeoutError:
             call.end(Outcome.TIMED_OUT)
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -224,7 +224,7 @@
         return [self.listener] + ([self.peers.sock] if self.peers.sock is not None else [])
 
     def limit(self, descriptors: int, part: float) -> None:
-        self.budget.limit(descriptors, int(self.memory * part))
+        self.budget.set_limits(descriptors, int(self.memory * part))
 
     def stop_accepting(self) -> list[socket.socket]:
         """The other process accepts; what was accepted and not let in yet goes to it."""
@@ -232,11 +232,11 @@
         if self.cluster is not None:
             self.cluster.stop()
         self.peers.close()
-        held, self.clients.held = self.clients.held, None
+        held, self.clients.unadmitted = self.clients.unadmitted, None
         return [held] if held is not None else []
 
     def accept_again(self) -> None:
-        if not self.clients.stopping:
+        if not self.clients.is_draining:
             self._accept()
 
     def told_to_stop(self) -> bool:
@@ -245,7 +245,7 @@
     def _accept(self) -> None:
         self.accepting = self.loop.create_task(self.clients.accept(self.listener))
         if self.peers.sock is not None:
-            self.clients.keep(self.loop.create_task(self._speak()))
+            self.clients.spawn(self._speak())
 
     async def _speak(self) -> None:
         try:
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -16,6 +16,7 @@
 from firwalk.dispatcher.dispatcher import Dispatcher, Endpoint, PendingRequest
 from firwalk.net import (
     address,
+    client_requests,
     clients,
     cluster_commands,
     discovery,
@@ -119,7 +120,9 @@
 )
 def test_message_to_an_executor(target, headers, body, left_s, message):
     """The head that an executor gets, with the time that is left, one millisecond at least."""
-    assert clients._message(target, headers, body, 1000.0 + left_s, lambda: 1000.0)() == message
+    assert (
+        client_requests.attempt_encoder(target, headers, body, 1000.0 + left_s, lambda: 1000.0)() == message
+    )
 
 
 def test_probe_of_an_executor():
@@ -201,7 +204,7 @@
     exchange = executors.AttemptCall(
         SimpleNamespace(dispatcher=dispatcher, attempts={}), PendingRequest(), 0, b"r1"
     )
-    parser = http.Answers(
+    parser = http.ResponseParser(
         exchange.begin_response, exchange.receive_line, lambda keep: exchange.complete_response()
     )
     parser.feed(memoryview(answer))
@@ -236,7 +239,7 @@
 )
 def test_answer_to_a_client(status, body, keep, advice, text):
     """Head and body of an answer."""
-    assert http.answer(status, body, keep, advice) == text
+    assert http.encode_response(status, body, keep, advice) == text
 
 
 @pytest.mark.parametrize(
@@ -256,7 +259,7 @@
 )
 def test_error_to_a_client(status, first):
     """An error has no body."""
-    assert http.answer(status) == first + b"\r\nContent-Length: 0\r\n\r\n"
+    assert http.encode_response(status) == first + b"\r\nContent-Length: 0\r\n\r\n"
 
 
 def conversation(
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -22,14 +22,15 @@
 from firwalk.net.address import new_socket, parse
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
-from firwalk.net.clients import SETTLED, Clients
+from firwalk.net.client_connection import EVICTABLE_AFTER_S
+from firwalk.net.clients import Clients
 from firwalk.net.discovery import FIRST_LIST_TIMEOUT_S
 from firwalk.net.executor_connection import ExecutorConnection
 from firwalk.net.executor_pool import ConnectionPool, DeadConnection
 from firwalk.net.executors import AttemptCall, Executors
 from firwalk.net.service import Service
 from firwalk.net.turns import Turns
-from firwalk.net.waiting import connected
+from firwalk.net.waiting import connect
 from firwalk.observability.events import CloseReason
 from firwalk.policy.interface import EndpointState, Outcome
 
@@ -287,7 +288,7 @@
         ends, place = [], Endpoint("e0", ("127.0.0.1", 1))
         executors = Executors(dispatcher(ends), Budget(64, 10**8), Buffers(), 0.25, 60.0)
         pool = executors.pool
-        pool.budget.open_link()
+        pool.budget.open_executor()
         link = ExecutorConnection(pool, place, ours)
         pool.connections[link] = None
         link.call = AttemptCall(executors, PendingRequest(), 0, b"t1")
@@ -298,7 +299,7 @@
         else:
             theirs.close()
         await asyncio.wait([link.reader, writing], timeout=2)
-        assert ends == how and not pool.idle and pool.budget.links == 0 and ours.fileno() == -1
+        assert ends == how and not pool.idle and pool.budget.executors == 0 and ours.fileno() == -1
         assert writing.cancelled() if comes else isinstance(writing.exception(), ConnectionError)
 
     asyncio.run(run())
@@ -328,7 +329,7 @@
         ours.setblocking(False)
         executors = Executors(dispatcher([]), Budget(64, 10**8), Buffers(), 0.25, 60.0)
         pool = executors.pool
-        pool.budget.open_link()
+        pool.budget.open_executor()
         link, asked = ExecutorConnection(pool, Endpoint("e0", ("127.0.0.1", 1)), ours), []
         pool.connections[link] = None
         link.call = AttemptCall(executors, PendingRequest(), 0, b"t1")
@@ -371,7 +372,7 @@
         service.turns.soon()
         await asyncio.sleep(0.3)
         assert 10 <= len(ticks) <= 24
-        service.turns.due.cancel()
+        service.turns.scheduled.cancel()
 
     asyncio.run(run())
 
@@ -382,13 +383,13 @@
         ended = []
         executors = Executors(dispatcher(ended), Budget(64, 10**8), Buffers(), 0.2, 60.0)
         pool = executors.pool
-        pool.budget.links = pool.budget.most
+        pool.budget.executors = pool.budget.max_connections
         executor = await StandIn().open()
         place = Endpoint("e0", parse(executor.address))
         executors.send_attempt(PendingRequest(), 0, place, b"t1", lambda: post(name="t1"))
         await asyncio.sleep(0.1)
         assert not ended and not executor.got
-        pool.budget.links -= freed
+        pool.budget.executors -= freed
         await asyncio.sleep(0.2)
         assert ended == [Outcome.COMPLETED if freed else Outcome.NOT_SENT] and len(executor.got) == freed
         pool.close_idle(place)
@@ -602,11 +603,11 @@
     async def run():
         with socket.create_server(("127.0.0.1", 0)) as server:
             with new_socket(server.getsockname()) as sock:
-                await connected(sock, server.getsockname())
+                await connect(sock, server.getsockname())
                 assert sock.getpeername() == server.getsockname()
             gone = server.getsockname()
         with new_socket(gone) as sock, pytest.raises(ConnectionRefusedError):
-            await connected(sock, gone)
+            await connect(sock, gone)
 
     asyncio.run(run())
 
@@ -631,7 +632,7 @@
         pending = dispatcher.report_request("read", "", 2.0, 0.01, 1.0, 0.0, False)
         step = await dispatcher.next_action(pending)
         executors.send_attempt(pending, step.number, step.endpoint, b"t", lambda: b"bytes")
-        return await asyncio.wait_for(dispatcher.next_action(pending), 1), executors.pool.budget.links
+        return await asyncio.wait_for(dispatcher.next_action(pending), 1), executors.pool.budget.executors
 
     step, links = asyncio.run(run())
     assert isinstance(step, RejectRequest) and len(calls) == 2 and links == 0
@@ -909,7 +910,7 @@
     async def story(w):
         async def ask(n):
             """On a busy machine this loop itself comes to write late: a connection that was silent for longer
-            than `SETTLED` may have given way, and its client comes again, as clients do."""
+            than `EVICTABLE_AFTER_S` may have given way, and its client comes again, as clients do."""
             for again in range(10):
                 began = time.monotonic()
                 pair = await w.connect()
@@ -917,7 +918,7 @@
                 answer = await w.ask(post(name=f"t{n}.{again}", X_Deadline="5000m"), pair)
                 if answer is not None:
                     return answer
-                assert silent > SETTLED, f"closed without an answer, silent for {silent:.3f} s"
+                assert silent > EVICTABLE_AFTER_S, f"closed without an answer, silent for {silent:.3f} s"
 
         answers = await asyncio.gather(*[ask(n) for n in range(60)])
         count = {status: sum(a[0] == status for a in answers) for status in (200, 503)}
