--- a/firwalk/cluster/canary_analysis.py
+++ b/firwalk/cluster/canary_analysis.py
@@ -100,7 +100,7 @@
 
     key: Key
     zone: int
-    seat: int
+    node_id: int
 
 
 class Pasts:
@@ -114,25 +114,25 @@
         self.zones: dict[Key, dict[int, dict[int, Sums]]] = {}
         self.offsets: dict[NodeFigure, float] = {}
 
-    def add(self, zone: int, seat: int, row: Row) -> None:
+    def add(self, zone: int, node_id: int, row: Row) -> None:
         """Adds what a node counted before the rollout."""
         for key, sample in row.figures().items():
             if sample.size:
-                seats = self.zones.setdefault(key, {}).setdefault(zone, {})
-                seats.setdefault(seat, Sums()).add(*sample)
+                nodes = self.zones.setdefault(key, {}).setdefault(zone, {})
+                nodes.setdefault(node_id, Sums()).add(*sample)
 
-    def own(self, key: Key, zone: int, seat: int) -> float:
+    def own(self, key: Key, zone: int, node_id: int) -> float:
         """By how much the node's mean stands off; the same at each call."""
-        figure = NodeFigure(key, zone, seat)
+        figure = NodeFigure(key, zone, node_id)
         if figure not in self.offsets:
-            self.offsets[figure] = _offset(key[0], self.zones.get(key, {}).get(zone, {}), seat)
+            self.offsets[figure] = _offset(key[0], self.zones.get(key, {}).get(zone, {}), node_id)
         return self.offsets[figure]
 
 
-def _offset(name: str, seats: dict[int, Sums], seat: int) -> float:
-    known = {other: sums for other, sums in seats.items() if sums.count >= MIN_PAST_COUNT}
-    own = known.get(seat)
-    others = pooled({other: sums for other, sums in known.items() if other != seat})
+def _offset(name: str, nodes: dict[int, Sums], node_id: int) -> float:
+    known = {other: sums for other, sums in nodes.items() if sums.count >= MIN_PAST_COUNT}
+    own = known.get(node_id)
+    others = pooled({other: sums for other, sums in known.items() if other != node_id})
     if own is None or not others.count:
         return 0.0
     difference = own.mean() - others.mean()
@@ -171,16 +171,16 @@
         self.zones: dict[Key, dict[int, Side]] = {}
         self.fine: dict[Key, None] = {}  # passed in some round: a sequential test ends at its bound
 
-    def add(self, zone: int, seat: int, new: bool, row: Row) -> None:
+    def add(self, zone: int, node_id: int, new: bool, row: Row) -> None:
         """Adds what a node counted in a time in which the other side of its zone counted as well."""
         for key, (count, total, squares) in row.figures().items():
             if not count:
                 continue
             side = self.zones.setdefault(key, {}).setdefault(zone, Side())
-            if own := self.past.own(key, zone, seat):
+            if own := self.past.own(key, zone, node_id):
                 squares += count * own * own - 2.0 * own * total
                 total -= count * own
-            (side.new if new else side.old).setdefault(seat, Sums()).add(count, total, squares)
+            (side.new if new else side.old).setdefault(node_id, Sums()).add(count, total, squares)
 
     def _dispersion(self, key: Key) -> float:
         """How much more the old nodes of a zone differ than by chance; 1: as by chance."""
--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -47,19 +47,19 @@
     seconds.
     """
 
-    voter: Acceptor | None = None
-    candidate: Proposer | None = None
-    writer: PlanPublisher | None = None
-    holder: QuotaClient | None = None
-    changing: RolloutController | None = None
+    acceptor: Acceptor | None = None
+    proposer: Proposer | None = None
+    plan_publisher: PlanPublisher | None = None
+    quota_client: QuotaClient | None = None
+    rollout_controller: RolloutController | None = None
     zone_coordinator: ZoneCoordinator | None = None
     quota_coordinator: QuotaCoordinator | None = None
 
     def __init__(
         self,
         host: Host,
-        seat: int,
-        seats: int,
+        node_id: int,
+        cluster_size: int,
         generation: int,
         now: float,
         *,
@@ -74,62 +74,66 @@
         budgets_by: QuotaPolicy | None = None,
     ) -> None:
         self.host = host
-        self.seat = seat  # the node id
-        self.seats = seats  # the cluster size
+        self.node_id = node_id
+        self.cluster_size = cluster_size
         self.generation = generation
-        random_source = RandomSource(generation ^ seat)
+        random_source = RandomSource(generation ^ node_id)
         timing = self._scale_timing(report, hold)
-        self.members = Members(host, seat, seats, generation, random_source, period=period, answer=answer)
-        self.follower = PlanFollower(host, seat, random_source, report=timing.report, hold_s=timing.hold)
+        self.members = Members(
+            host, node_id, cluster_size, generation, random_source, period=period, answer=answer
+        )
+        self.follower = PlanFollower(host, node_id, random_source, report=timing.report, hold_s=timing.hold)
         self.members.office = lambda: self.follower.office
         self.commands = CommandSender(host, self.follower)
         self.contracts = ContractStore()
-        self.zone_reporter = ZoneReporter(host, seat, self.follower)
+        self.zone_reporter = ZoneReporter(host, node_id, self.follower)
         self.has_zones = zones is not None
         if budgets_by:
-            self.holder = QuotaClient(host, budgets_by, lambda: self.follower.office)
-        if seat in voters:
+            self.quota_client = QuotaClient(host, budgets_by, lambda: self.follower.office)
+        if node_id in voters:
             acceptor = Acceptor(host, generation, now, lease_s=length, drift=drift)
             self._add_voter_parts(
-                Proposer(host, seat, generation, voters, acceptor, random_source, lease_s=length, drift=drift)
+                Proposer(
+                    host, node_id, generation, voters, acceptor, random_source, lease_s=length, drift=drift
+                )
             )
             self._add_leader_parts(zones, budgets_by)
         self._handlers = self._build_handlers()
 
     def _add_voter_parts(self, proposer: Proposer) -> None:
         """The parts of a node that may become the leader."""
-        self.voter = proposer.acceptor
-        self.candidate = proposer
+        self.acceptor = proposer.acceptor
+        self.proposer = proposer
         publisher = PlanPublisher(self.host, proposer, self.follower, proposer.random_source, self.members.up)
-        self.writer = publisher
+        self.plan_publisher = publisher
         proposer.on_won = publisher.on_lease_won
         proposer.on_lost = publisher.on_lease_lost
         publisher.on_opened = self._open_term
 
     def _add_leader_parts(self, zone_policy: ZonePolicy | None, quota_policy: QuotaPolicy | None) -> None:
         """The operators' optional parts that act while this node is the leader."""
-        if self.writer is None:
+        if self.plan_publisher is None:
             return
         if zone_policy is not None:
             self.zone_coordinator = ZoneCoordinator(
-                self.host, self.seat, zone_policy, self.writer, self.members, self.zone_reporter
+                self.host, self.node_id, zone_policy, self.plan_publisher, self.members, self.zone_reporter
             )
         if quota_policy:
             self.quota_coordinator = QuotaCoordinator(
-                self.host, quota_policy, self.contracts, self.writer, self.members
+                self.host, quota_policy, self.contracts, self.plan_publisher, self.members
             )
 
     def start(self, now: float) -> None:
         """Begin to take part."""
         self.members.start(now)
         self.follower.start(now)
-        if self.candidate is not None:
-            self.candidate.start(now)
+        if self.proposer is not None:
+            self.proposer.start(now)
             self.host.set_timer(now, self._maintain_plan, None)
         if self.has_zones:
             self.zone_reporter.start(now)
-        if self.holder is not None:
-            self.holder.start(now)
+        if self.quota_client is not None:
+            self.quota_client.start(now)
 
     # -- attachment points of the node's other parts -----------------------------------------------------
 
@@ -172,23 +176,23 @@
     def has_contracts(self, contracts: ContractSet) -> None:
         """This node has these contracts, and follows them when the plan names them."""
         self.contracts.add_newest(contracts)
-        if self.holder is not None:
-            self.holder.ready = contracts.check
+        if self.quota_client is not None:
+            self.quota_client.ready = contracts.check
 
     # -- leadership --------------------------------------------------------------------------------------
 
     def coordinates(self, now: float) -> bool:
         """Whether this node is the leader at this moment."""
-        return self.writer is not None and self.writer.in_office(now)
+        return self.plan_publisher is not None and self.plan_publisher.in_office(now)
 
     def set_section(self, now: float, name: str, section: Any) -> bool:
         """Change a section of the plan; returns False if this node is not the leader."""
-        return self.writer is not None and self.writer.set_section(now, name, section)
+        return self.plan_publisher is not None and self.plan_publisher.set_section(now, name, section)
 
     def _open_term(self, now: float) -> None:
         """This node has become the leader: each part resumes from what the plan says."""
-        if self.changing is not None and self.writer is not None:
-            self.changing.opened(now, self.writer.sections.get("stages"))
+        if self.rollout_controller is not None and self.plan_publisher is not None:
+            self.rollout_controller.opened(now, self.plan_publisher.sections.get("stages"))
         if self.zone_coordinator is not None:
             self.zone_coordinator.open(now)
         if self.quota_coordinator is not None:
@@ -196,28 +200,28 @@
 
     def _maintain_plan(self, now: float, _: None) -> None:
         """Runs periodically: the leader's plan stays in force here, and says who is up."""
-        if self.writer is None or self.candidate is None:
+        if self.plan_publisher is None or self.proposer is None:
             return
-        self.writer.confirm_own_plan(now)
-        if self.writer.in_office(now):
+        self.plan_publisher.confirm_own_plan(now)
+        if self.plan_publisher.in_office(now):
             up = self.members.up()
             changes: PlanSections = {
                 "seats": {"up": encode_ranges(up), "count": len(up)},
-                "voters": {"up": [node_id for node_id in self.candidate.voters if node_id in up]},
+                "voters": {"up": [node_id for node_id in self.proposer.voters if node_id in up]},
             }
-            if self.writer.version:
+            if self.plan_publisher.version:
                 changes |= self._evaluate_parts(now, up)
-            self.writer.put(now, changes)
+            self.plan_publisher.put(now, changes)
         self.host.set_timer(now + self.follower.report, self._maintain_plan, None)
 
     def _evaluate_parts(self, now: float, node_ids_up: list[int]) -> PlanSections:
         changes: PlanSections = {}
         if self.zone_coordinator is not None:
             changes |= self.zone_coordinator.evaluate(now, node_ids_up)
-        if self.changing is not None:
-            changes |= self.changing.look(now, node_ids_up)
+        if self.rollout_controller is not None:
+            changes |= self.rollout_controller.look(now, node_ids_up)
         if self.quota_coordinator is not None:
-            rollout = self.changing.contracts() if self.changing is not None else None
+            rollout = self.rollout_controller.contracts() if self.rollout_controller is not None else None
             contract_rollout = ContractRollout(*rollout) if rollout is not None else None
             changes |= self.quota_coordinator.plan_changes(now, node_ids_up, contract_rollout)
         return changes
@@ -238,8 +242,8 @@
             return m.RolloutCommand(number, word, name, check, text)
 
         if self.coordinates(now):
-            assert self.changing is not None, "commands on rollouts need the rollout controller"
-            on_result(*self.changing.word_came(now, self.seat, make_command(0)))
+            assert self.rollout_controller is not None, "commands on rollouts need the rollout controller"
+            on_result(*self.rollout_controller.word_came(now, self.node_id, make_command(0)))
         else:
             self.commands.send(now, make_command, on_result)
 
@@ -254,14 +258,14 @@
         self, now: float, sender: int, generation: int, incarnation: int, message: m.Message
     ) -> None:
         """Handle a message from a node of the cluster."""
-        if sender >= self.seats:
+        if sender >= self.cluster_size:
             return
-        if sender != self.seat:  # a proposer asks its own acceptor the same way as the others
+        if sender != self.node_id:  # a proposer asks its own acceptor the same way as the others
             self.members.on_header(now, sender, generation, incarnation)
         if isinstance(message, m.Ping | m.Ack):
             self.follower.on_leader_term(now, message.office)
-            if self.writer is not None:
-                self.writer.on_leader_term(now, self.follower.office)
+            if self.plan_publisher is not None:
+                self.plan_publisher.on_leader_term(now, self.follower.office)
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(now, sender, generation, message)
@@ -281,9 +285,9 @@
             m.CommandResult: lambda now, sender, _, message: self.commands.on_result(message),
             m.QuotaGrant: self._on_quota_grant,
         }
-        if self.voter is not None and self.candidate is not None and self.writer is not None:
-            handlers |= self._election_handlers(self.voter, self.candidate)
-            handlers |= self._leader_handlers(self.writer)
+        if self.acceptor is not None and self.proposer is not None and self.plan_publisher is not None:
+            handlers |= self._election_handlers(self.acceptor, self.proposer)
+            handlers |= self._leader_handlers(self.plan_publisher)
         return handlers
 
     def _election_handlers(self, acceptor: Acceptor, proposer: Proposer) -> dict[type, Handler]:
@@ -310,13 +314,13 @@
         }
 
     def _on_piece(self, now: float, sender: int, generation: int, message: m.Piece) -> None:
-        if self.writer is not None:
-            self.writer.on_piece(now, message)
+        if self.plan_publisher is not None:
+            self.plan_publisher.on_piece(now, message)
         self.follower.on_piece(now, message)
 
     def _on_quota_grant(self, now: float, sender: int, generation: int, message: m.QuotaGrant) -> None:
-        if self.holder is not None:
-            self.holder.grant_came(now, sender, message)
+        if self.quota_client is not None:
+            self.quota_client.grant_came(now, sender, message)
 
     def _on_quota_request(self, now: float, sender: int, generation: int, message: m.QuotaRequest) -> None:
         if self.quota_coordinator is not None:
@@ -338,8 +342,8 @@
     def _on_rollout_command(
         self, now: float, sender: int, generation: int, message: m.RolloutCommand
     ) -> None:
-        if self.coordinates(now) and self.changing is not None:
-            outcome = CommandOutcome(*self.changing.word_came(now, sender, message))
+        if self.coordinates(now) and self.rollout_controller is not None:
+            outcome = CommandOutcome(*self.rollout_controller.word_came(now, sender, message))
             self._send_result(sender, message.number, outcome)
 
     def _send_result(self, node_id: int, number: int, outcome: CommandOutcome) -> None:
@@ -349,8 +353,8 @@
     def _on_rollout_metrics(
         self, now: float, sender: int, generation: int, message: m.RolloutMetrics
     ) -> None:
-        if self.changing is not None:
-            self.changing.came(now, sender, generation, message)
+        if self.rollout_controller is not None:
+            self.rollout_controller.came(now, sender, generation, message)
 
     # -- reconfiguration and end -------------------------------------------------------------------------
 
@@ -368,13 +372,13 @@
         self.follower.hold_s = timing.hold
 
     def _scale_timing(self, report: float, hold: float) -> ReportTiming:
-        report = max(report, report * self.seats / FULL_RATE_NODES)
+        report = max(report, report * self.cluster_size / FULL_RATE_NODES)
         return ReportTiming(report, max(hold, MIN_HOLD_REPORTS * report))
 
     def leave(self, now: float) -> None:
         """Leave in good order: the lease and the quota are returned, and the others are told."""
-        if self.holder is not None:
-            self.holder.end(now)
-        if self.candidate is not None:
-            self.candidate.release(now)
+        if self.quota_client is not None:
+            self.quota_client.end(now)
+        if self.proposer is not None:
+            self.proposer.release(now)
         self.members.leave(now)
--- a/firwalk/cluster/quota_accounting.py
+++ b/firwalk/cluster/quota_accounting.py
@@ -66,13 +66,13 @@
         find_contracts: Callable[[int], Contracts | None] = lambda version: None,
     ) -> None:
         self.member = member
-        assert member.holder is not None, "the quota part is configured"
-        self.client = member.holder
+        assert member.quota_client is not None, "the quota part is configured"
+        self.client = member.quota_client
         self.clock = clock
         self.unix = unix
         self.find_contracts = find_contracts
         self.floor = self.client.terms.floor
-        self.ledger = Ledger(member.seats, self.floor)
+        self.ledger = Ledger(member.cluster_size, self.floor)
         self.known: dict[int, Contracts] = {}  # by checksum
         self.checksum = 0  # of the contracts that this node follows; 0: none
         self.logged_at = clock()
@@ -171,8 +171,11 @@
 
     def _contract_set(self, contracts: Contracts) -> ContractSet:
         """What the coordinator leases: each budget without the parts that all nodes have for good."""
-        seats = self.member.seats
-        leased = [team.rate() - int(team.rate() * self.floor) // seats * seats for team in contracts.teams]
+        cluster_size = self.member.cluster_size
+        leased = [
+            team.rate() - int(team.rate() * self.floor) // cluster_size * cluster_size
+            for team in contracts.teams
+        ]
         return ContractSet(
             contracts.version,
             contracts.check(),
@@ -199,7 +202,7 @@
             return bool(
                 checksum
                 and rollout["kind"] == "contracts"
-                and self.member.seat in decode_ranges(rollout["new"])
+                and self.member.node_id in decode_ranges(rollout["new"])
             )
         except (KeyError, TypeError, ValueError):
             return False
--- a/firwalk/cluster/quota_allocator.py
+++ b/firwalk/cluster/quota_allocator.py
@@ -47,7 +47,7 @@
 class QuotaAllocator:
     """The allocator of one coordinator's term.
 
-    `seats`: ids of all nodes that may have a lease. `beside`: contracts that a rollout brings, so that some
+    `node_ids`: all nodes that may have a lease. `beside`: contracts that a rollout brings, so that some
     nodes follow these and others `offer`. Each node then gets its part of the quota of its own contracts, and
     all together never more than the larger quota: one that is far too small shows at the nodes that follow it
     alone, where canary analysis finds it.
@@ -58,11 +58,11 @@
         now: float,
         terms: QuotaPolicy,
         offer: ContractSet,
-        seats: Callable[[], list[int]],
+        node_ids: Callable[[], list[int]],
         beside: ContractSet | None = None,
     ) -> None:
         self.terms = terms
-        self.seats = seats
+        self.node_ids = node_ids
         self.sides: dict[int, ContractSet] = {}  # by checksum
         self.numbers: dict[str, int] = {}  # of the books, by tenant
         self.wholes: dict[str, int] = {}  # the larger quota, by tenant
@@ -140,7 +140,7 @@
         if len(turn.marks) < got.last - got.first + 1:
             return
         self.complete[node] = None
-        if all(other in self.complete for other in self.seats()):
+        if all(other in self.complete for other in self.node_ids()):
             self.renews_until = 0.0
 
     def _grant(self, now: float, request: TenantRequest) -> int | None:
--- a/firwalk/cluster/rollout.py
+++ b/firwalk/cluster/rollout.py
@@ -45,11 +45,11 @@
         self,
         terms: RolloutPolicy,
         voters: list[int],
-        seats: int,
+        cluster_size: int,
         named: FileLookup,
         event: Callable[..., None] = ignore_event,
     ) -> None:
-        super().__init__(terms, voters, seats, named, event)
+        super().__init__(terms, voters, cluster_size, named, event)
         self.change: RolloutFile | None = None
         self.past = Pasts()
         self.comparison = RolloutComparison(HarmThresholds(), 1)
@@ -106,10 +106,10 @@
         self._enter(BACK, why)
         return ""
 
-    def failed(self, now: float, seat: int, number: int, why: str) -> str:
+    def failed(self, now: float, node_id: int, number: int, why: str) -> str:
         """An agent could not start the new version, and put the old one back by itself."""
         if number == self.section.get("number") and self.section["state"] in (GOING, HELD):
-            self.back(now, f"seat {seat}: {why}"[:MAX_REASON_LENGTH])
+            self.back(now, f"seat {node_id}: {why}"[:MAX_REASON_LENGTH])
         return ""
 
     def dry(self, now: float, name: str, check: int, up: list[int], page: int) -> tuple[bool, str]:
@@ -136,10 +136,10 @@
         """Why the rollout cannot start now."""
         if len(up) < 2:
             return "only one node is up: with its process the change itself would be forgotten"
-        silent = [seat for seat in up if not self._is_fresh(now, seat)]
+        silent = [node_id for node_id in up if not self._is_fresh(now, node_id)]
         if silent:
             return f"seats {encode_ranges(silent)} tell nothing yet of what they run; ask again"
-        other = [seat for seat in up if not self.nodes.runs(seat, change.kind(), change.before)]
+        other = [node_id for node_id in up if not self.nodes.runs(node_id, change.kind(), change.before)]
         if other:
             return f"seats {encode_ranges(other)} do not run {change.before}"
         try:
@@ -162,7 +162,7 @@
             "new": "",
             "why": "",
             "by": "",
-            "zones": self.nodes.zone_letters(self.seats),
+            "zones": self.nodes.zone_letters(self.cluster_size),
             "report": [],
         }
         self.ordered_at = {}
@@ -177,9 +177,9 @@
         self.section = {**self.section, "of": len(self.stages)}
         self.past = Pasts()
         if not self._new_nodes():  # A new coordinator does not know the past of nodes that went over.
-            for seat, node in self.nodes.metrics.items():
+            for node_id, node in self.nodes.metrics.items():
                 for row in node.past():
-                    self.past.add(node.zone, seat, row)
+                    self.past.add(node.zone, node_id, row)
         self._restart_comparison()
 
     def resumed(self, now: float, section: Any) -> None:
@@ -187,7 +187,7 @@
         since its term began stay, since nodes report seldom while nothing is changed."""
         self.change = None
         self.section = {}
-        if is_valid(section, self.seats):
+        if is_valid(section, self.cluster_size):
             self.section = dict(section)
             self.ordered_at = dict.fromkeys(self._new_nodes(), now)
             self.stage_complete_at = None
@@ -212,12 +212,12 @@
         if change is None or checksum != self.section["check"]:
             if self.section["state"] == GOING:
                 self._enter(HELD, "the coordinator does not have the change's file", ITSELF)
-        elif all(self._is_fresh(now, seat) for seat in up):
+        elif all(self._is_fresh(now, node_id) for node_id in up):
             self._use_file(change)
 
     def _go_forward(self, now: float, up: list[int], unfit: str) -> None:
         ordered = self._new_nodes()
-        new = [seat for seat in ordered if seat in up]
+        new = [node_id for node_id in ordered if node_id in up]
         obstacle = unfit or self._down_zone(up) or self._late_nodes(now, new)
         if not obstacle:
             self._compare(now, up)
@@ -228,9 +228,9 @@
         self._hold_for(obstacle)
         if self.section["state"] == HELD and self.section["by"] != LITTLE:
             return
-        if not all(self._settled(now, seat) for seat in new):
+        if not all(self._settled(now, node_id) for node_id in new):
             return
-        left = [seat for seat in self._stage() if seat in up and seat not in ordered]
+        left = [node_id for node_id in self._stage() if node_id in up and node_id not in ordered]
         batch = self._batch(left, up, self.terms.at_once)
         if batch and self.section["state"] == GOING:
             self._order(now, ordered + batch)
@@ -265,17 +265,17 @@
     def _go_back(self, now: float, up: list[int]) -> None:
         """A zone at a time, but for a second acceptor; a silent node delays the others for a while."""
         new = self._new_nodes()
-        pending = [seat for seat in up if not self._runs_old(now, seat) and seat not in new]
-        if any(now < self.ordered_at.get(seat, now) + ROLLBACK_TIMEOUT_S for seat in pending):
-            for seat in pending:
-                self.ordered_at.setdefault(seat, now)
+        pending = [node_id for node_id in up if not self._runs_old(now, node_id) and node_id not in new]
+        if any(now < self.ordered_at.get(node_id, now) + ROLLBACK_TIMEOUT_S for node_id in pending):
+            for node_id in pending:
+                self.ordered_at.setdefault(node_id, now)
             return
-        batch = self._batch([seat for seat in new if seat in up], up, 1.0)
+        batch = self._batch([node_id for node_id in new if node_id in up], up, 1.0)
         if batch:
-            self._order(now, [seat for seat in new if seat not in batch])
+            self._order(now, [node_id for node_id in new if node_id not in batch])
             return
         self._order(now, [])
-        if all(now >= self.ordered_at.get(seat, now) + ROLLBACK_TIMEOUT_S for seat in pending):
+        if all(now >= self.ordered_at.get(node_id, now) + ROLLBACK_TIMEOUT_S for node_id in pending):
             self._enter(STOPPED, self.section["why"])
 
     def _hold_for(self, obstacle: str) -> None:
@@ -311,33 +311,33 @@
         for nodes in self._sides(now, up, new).values():
             has_both = len({node.is_new for node in nodes}) == 2
             for node in nodes:
-                joined_before = node.is_new and node.seat in self._stage_before()
-                self.comparison.add(self.nodes.metrics[node.seat], node, has_both, joined_before)
-        for seat, metrics in self.nodes.metrics.items():
-            if seat in new and not self._settled(now, seat):
+                joined_before = node.is_new and node.node_id in self._stage_before()
+                self.comparison.add(self.nodes.metrics[node.node_id], node, has_both, joined_before)
+        for node_id, metrics in self.nodes.metrics.items():
+            if node_id in new and not self._settled(now, node_id):
                 metrics.mark_compared()
 
     def _sides(self, now: float, up: list[int], new: list[int]) -> dict[int, list[ComparedNode]]:
         """By zone: the nodes that are settled on either version."""
         sides: dict[int, list[ComparedNode]] = {}
-        for seat in up:
-            is_new = seat in new
-            is_settled = self._settled(now, seat) if is_new else self._runs_old(now, seat)
-            if is_settled and self._is_fresh(now, seat):
-                sides.setdefault(self._metrics(seat).zone, []).append(ComparedNode(seat, is_new))
+        for node_id in up:
+            is_new = node_id in new
+            is_settled = self._settled(now, node_id) if is_new else self._runs_old(now, node_id)
+            if is_settled and self._is_fresh(now, node_id):
+                sides.setdefault(self._metrics(node_id).zone, []).append(ComparedNode(node_id, is_new))
         return sides
 
-    def _metrics(self, seat: int) -> NodeMetrics:
-        return self.nodes.metrics[seat]
+    def _metrics(self, node_id: int) -> NodeMetrics:
+        return self.nodes.metrics[node_id]
 
     def _find_harm(self, now: float, new: list[int]) -> str:
         """Why the rollout has to go back; empty: nothing is known to be worse."""
         harm = self.comparison.find_harm()
         if harm:
             return harm
-        memory = {seat: self._metrics(seat).memory for seat in new if self._settled(now, seat)}
+        memory = {node_id: self._metrics(node_id).memory for node_id in new if self._settled(now, node_id)}
         metrics = self.nodes.metrics.items()
-        old_memory = [node.memory for seat, node in metrics if self._runs_old(now, seat)]
+        old_memory = [node.memory for node_id, node in metrics if self._runs_old(now, node_id)]
         return self.leaks.find_leak(memory, old_memory, self._limits().memory)
 
     def _report(self) -> None:
--- a/firwalk/cluster/rollout_comparison.py
+++ b/firwalk/cluster/rollout_comparison.py
@@ -16,7 +16,7 @@
 class ComparedNode(NamedTuple):
     """A node that is counted on one side of its zone."""
 
-    seat: int
+    node_id: int
     is_new: bool
 
 
@@ -35,9 +35,9 @@
         for checksum, row in node.counters.items():
             added = row.minus(node.compared.get(checksum, Row(checksum)))
             if added is not None and has_both:
-                self.overall.add(node.zone, compared.seat, compared.is_new, added)
+                self.overall.add(node.zone, compared.node_id, compared.is_new, added)
                 if not compared.is_new or not joined_before:
-                    self.stage.add(node.zone, compared.seat, compared.is_new, added)
+                    self.stage.add(node.zone, compared.node_id, compared.is_new, added)
             node.compared[checksum] = row
 
     def find_harm(self) -> str:
@@ -63,11 +63,13 @@
             return ""
         usual = median(old)
         limit = max(usual * max_ratio, usual + MIN_LEAK, max(old))
-        self.rounds = {seat: self.rounds.get(seat, 0) + 1 for seat, memory in new.items() if memory > limit}
-        for seat, rounds in self.rounds.items():
+        self.rounds = {
+            node_id: self.rounds.get(node_id, 0) + 1 for node_id, memory in new.items() if memory > limit
+        }
+        for node_id, rounds in self.rounds.items():
             if rounds >= LEAK_ROUNDS:
                 return (
-                    f"memory {new[seat] / 10:.0f} MB of seat {seat} against "
+                    f"memory {new[node_id] / 10:.0f} MB of seat {node_id} against "
                     f"{usual / 10:.0f} with the old version"
                 )
         return ""
--- a/firwalk/cluster/rollout_controller.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -116,7 +116,7 @@
 
     def __init__(
         self,
-        seat: Any,
+        member: Any,
         tally: RolloutCounters,
         release: str,
         tag: Callable[[], str],
@@ -125,7 +125,7 @@
         terms: RolloutPolicy,
         named: FileLookup,
     ) -> None:
-        self.seat = seat
+        self.member = member
         self.tally = tally
         self.release = release
         self.tag = tag
@@ -136,21 +136,21 @@
         self.reported_office = m.NOBODY
         self.contracts_version: Callable[[], int] = _no_contracts  # of those that this node follows
         self.roll: Rollout | None = None  # at nodes that may become the coordinator
-        if seat.writer is not None:
-            self.roll = Rollout(terms, seat.candidate.voters, seat.seats, named, seat.host.event)
-        seat.changing = self
+        if member.plan_publisher is not None:
+            self.roll = Rollout(terms, member.proposer.voters, member.cluster_size, named, member.host.event)
+        member.rollout_controller = self
 
     def start(self, now: float) -> None:
         """Begins to report at regular times."""
         self._record_configuration()
-        self.seat.host.set_timer(now, self._report, None)
+        self.member.host.set_timer(now, self._report, None)
 
     def _configuration(self) -> RunningConfiguration:
         return RunningConfiguration(self.tag(), self.contracts_version())
 
     def _record_configuration(self) -> None:
         self.recorded = self._configuration()
-        self.seat.host.event(
+        self.member.host.event(
             "runs", release=self.release, tag=self.recorded.tag, contracts=self.recorded.contracts
         )
 
@@ -158,7 +158,7 @@
 
     def section(self, now: float) -> RolloutSection | None:
         """Of the plan in force; None: there is none, and nothing is to be changed now."""
-        sections = self.seat.follower.now_in_force(now)
+        sections = self.member.follower.now_in_force(now)
         if sections is None:
             return None
         section: RolloutSection = sections.get("stages", {})
@@ -171,7 +171,7 @@
         if section is None:
             return "hold"
         try:
-            is_new = self.seat.seat in decode_ranges(section["new"])
+            is_new = self.member.node_id in decode_ranges(section["new"])
             version = section["what"] if is_new else section["before"]
             if section["kind"] == CONTRACTS:
                 return "nothing"  # The node itself changes its contracts.
@@ -182,8 +182,8 @@
     # -- reports -------------------------------------------------------------------------------------------
 
     def _report(self, now: float, _: None) -> None:
-        interval_s = self.seat.follower.report
-        office = self.seat.follower.office
+        interval_s = self.member.follower.report
+        office = self.member.follower.office
         if self._configuration() != self.recorded:
             self._record_configuration()
             self.intervals = IDLE_REPORT_INTERVALS  # The coordinator's knowledge of this node is outdated.
@@ -192,8 +192,8 @@
             self.intervals = 0
             self.reported_office = office
             for message in self.figures(now):
-                self.seat.host.tell(office[1], message)
-        self.seat.host.set_timer(now + interval_s, self._report, None)
+                self.member.host.tell(office[1], message)
+        self.member.host.set_timer(now + interval_s, self._report, None)
 
     def _is_report_due(self, now: float, office: m.Ballot) -> bool:
         """Seldom without a rollout, but at once for a new coordinator."""
@@ -216,10 +216,10 @@
 
     # -- the coordinator's ---------------------------------------------------------------------------------
 
-    def came(self, now: float, seat: int, generation: int, got: m.RolloutMetrics) -> None:
+    def came(self, now: float, node_id: int, generation: int, got: m.RolloutMetrics) -> None:
         """A node's report."""
-        if self.roll is not None and self.seat.writer.in_office(now):
-            self.roll.figures_came(now, seat, generation, got)
+        if self.roll is not None and self.member.plan_publisher.in_office(now):
+            self.roll.figures_came(now, node_id, generation, got)
 
     def opened(self, now: float, section: Any) -> None:
         """This node is the coordinator, and goes on from the plan."""
@@ -242,18 +242,22 @@
 
     def _unfit_zone(self) -> str:
         """A zone because of which nothing may be changed now."""
-        if self.seat.zones is None:
+        if self.member.zones is None:
             return ""
-        for zone in self.seat.zones.all:
+        for zone in self.member.zones.all:
             if zone.state or zone.is_drained or zone.is_drained_by_file:
                 return f"zone {zone.number} is not open"
         return ""
 
-    def word_came(self, now: float, seat: int, got: m.RolloutCommand) -> tuple[bool, str]:
+    def word_came(self, now: float, node_id: int, got: m.RolloutCommand) -> tuple[bool, str]:
         """An operator's command, or an agent's, at the coordinator: whether it is done, and the answer."""
         roll = self.roll
-        up = self.seat.members.up()
-        if roll is None or not self.seat.writer.in_office(now) or not self.seat.writer.version:
+        up = self.member.members.up()
+        if (
+            roll is None
+            or not self.member.plan_publisher.in_office(now)
+            or not self.member.plan_publisher.version
+        ):
             return False, "the coordinator is just coming into office; ask again"
         if got.word == "page":
             return True, roll.page(got.check)
@@ -265,11 +269,11 @@
             "hold": lambda: roll.hold(now),
             "resume": lambda: roll.resume(now),
             "back": lambda: roll.back(now),
-            "failed": lambda: roll.failed(now, seat, got.check, got.text),
+            "failed": lambda: roll.failed(now, node_id, got.check, got.text),
         }
         if got.word not in commands:
             return False, "no such word"
         reason = commands[got.word]()
         if not reason:
-            self.seat.writer.put(now, self.look(now, up))
+            self.member.plan_publisher.put(now, self.look(now, up))
         return not reason, reason
--- a/firwalk/cluster/rollout_nodes.py
+++ b/firwalk/cluster/rollout_nodes.py
@@ -73,12 +73,12 @@
     def __init__(self) -> None:
         self.metrics: dict[int, NodeMetrics] = {}
 
-    def receive(self, now: float, seat: int, generation: int, got: RolloutMetrics) -> None:
+    def receive(self, now: float, node_id: int, generation: int, got: RolloutMetrics) -> None:
         """A report came; one of another incarnation or version begins anew."""
         version = RunningVersion(got.release, got.tag, got.contracts)
-        node = self.metrics.get(seat)
+        node = self.metrics.get(node_id)
         if node is None or (node.generation, node.version) != (generation, version):
-            node = self.metrics[seat] = NodeMetrics(now, generation, version, got.zone, got.memory, now)
+            node = self.metrics[node_id] = NodeMetrics(now, generation, version, got.zone, got.memory, now)
         node.received_at = now
         node.zone = got.zone
         node.memory = got.memory
@@ -89,20 +89,22 @@
             node.counters[checksum] = row
         node.take_snapshot(now)
 
-    def is_fresh(self, now: float, seat: int, max_age_s: float) -> bool:
+    def is_fresh(self, now: float, node_id: int, max_age_s: float) -> bool:
         """Whether the node's last report still counts."""
-        node = self.metrics.get(seat)
+        node = self.metrics.get(node_id)
         return node is not None and now - node.received_at <= max_age_s
 
-    def runs(self, seat: int, kind: str, name: str) -> bool:
+    def runs(self, node_id: int, kind: str, name: str) -> bool:
         """Whether the node reported that it runs this version."""
-        node = self.metrics.get(seat)
+        node = self.metrics.get(node_id)
         return node is not None and node.version.is_version(kind, name)
 
-    def zone_letters(self, seats: int) -> str:
+    def zone_letters(self, cluster_size: int) -> str:
         """The zone of each node, for the plan, so that each coordinator of a rollout has the same stages. A
         node that never reported counts to the first zone."""
-        return encode_zones([self.metrics[seat].zone if seat in self.metrics else 0 for seat in range(seats)])
+        return encode_zones(
+            [self.metrics[node_id].zone if node_id in self.metrics else 0 for node_id in range(cluster_size)]
+        )
 
     def mark_all_compared(self) -> None:
         """Comparisons begin anew."""
--- a/firwalk/cluster/rollout_report.py
+++ b/firwalk/cluster/rollout_report.py
@@ -73,10 +73,10 @@
     lines = []
     before: list[int] = []
     for stage_number, stage in enumerate(stages, 1):
-        added = encode_ranges([seat for seat in stage if seat not in before])
+        added = encode_ranges([node_id for node_id in stage if node_id not in before])
         lines.append(f"stage {stage_number} of {len(stages)}: {len(stage)} nodes, new are {added}")
         before = stage
-    alone = [seat for seat in up if not _peers(seat, up, zone_of)]
+    alone = [node_id for node_id in up if not _peers(node_id, up, zone_of)]
     if alone:
         lines.append(
             f"seats {encode_ranges(alone)} are alone in their zones: nobody is beside them while they go over"
@@ -84,5 +84,5 @@
     return lines[number] if number < len(lines) else LAST_PAGE
 
 
-def _peers(seat: int, up: list[int], zone_of: dict[int, int]) -> list[int]:
-    return [other for other in up if other != seat and zone_of[other] == zone_of[seat]]
+def _peers(node_id: int, up: list[int], zone_of: dict[int, int]) -> list[int]:
+    return [other for other in up if other != node_id and zone_of[other] == zone_of[node_id]]
--- a/firwalk/cluster/rollout_section.py
+++ b/firwalk/cluster/rollout_section.py
@@ -43,9 +43,11 @@
 RolloutSection = dict[str, Any]  # JSON of the plan; {} before the first rollout
 
 
-def is_valid(section: Any, seats: int) -> bool:
-    """Whether a coordinator of a cluster of so many `seats` can go on from it."""
-    return isinstance(section, dict) and set(section) >= REQUIRED_KEYS and len(section["zones"]) == seats
+def is_valid(section: Any, cluster_size: int) -> bool:
+    """Whether a coordinator of a cluster of so many nodes can go on from it."""
+    return (
+        isinstance(section, dict) and set(section) >= REQUIRED_KEYS and len(section["zones"]) == cluster_size
+    )
 
 
 def encode_zones(zones: list[int]) -> str:
@@ -55,4 +57,4 @@
 
 def decode_zones(letters: str) -> dict[int, int]:
     """The zone of each node."""
-    return {seat: ord(letter) - FIRST_ZONE_LETTER for seat, letter in enumerate(letters)}
+    return {node_id: ord(letter) - FIRST_ZONE_LETTER for node_id, letter in enumerate(letters)}
--- a/firwalk/cluster/rollout_stages.py
+++ b/firwalk/cluster/rollout_stages.py
@@ -17,14 +17,14 @@
     """Nodes in the order in which they go over, zones by turns and acceptors of the lease last; and the
     controls, one of each zone, which go last of all."""
     zones: dict[int, list[int]] = {}
-    for seat in sorted(zone_of, key=lambda seat: (seat in voters, seat)):
-        zones.setdefault(zone_of[seat], []).append(seat)
+    for node_id in sorted(zone_of, key=lambda node_id: (node_id in voters, node_id)):
+        zones.setdefault(zone_of[node_id], []).append(node_id)
     # The largest zones begin: there the first node has most to be compared with.
-    queues = sorted(zones.values(), key=lambda seats: (-len(seats), seats[0]))
-    controls = [seats.pop() for seats in queues]
+    queues = sorted(zones.values(), key=lambda node_ids: (-len(node_ids), node_ids[0]))
+    controls = [node_ids.pop() for node_ids in queues]
     order: list[int] = []
     for place in range(max(map(len, queues), default=0)):
-        order += [seats[place] for seats in queues if place < len(seats)]
+        order += [node_ids[place] for node_ids in queues if place < len(node_ids)]
     return order, controls
 
 
@@ -40,11 +40,11 @@
     taken: list[int] = []
     for stage in stages:
         targets = _targets(stage, order, zone_of, zone_names)
-        added = [seat for seat in targets if seat not in taken]
+        added = [node_id for node_id in targets if node_id not in taken]
         if added:
             taken = taken + added
             found.append(list(taken))
-    last = [seat for seat in controls if seat not in taken]
+    last = [node_id for node_id in controls if node_id not in taken]
     return [*found, taken + last] if last else found
 
 
@@ -56,11 +56,11 @@
     if stage == "one":
         return order[:1]
     if stage == "zone":
-        return [seat for seat in order if zone_of[seat] == zone_of[order[0]]] if order else []
+        return [node_id for node_id in order if zone_of[node_id] == zone_of[order[0]]] if order else []
     if isinstance(stage, str):
         return _nodes_of_zone(stage.removeprefix("zone:"), order, zone_of, zone_names)
     if isinstance(stage, list):
-        unknown = [seat for seat in stage if seat not in zone_of]
+        unknown = [node_id for node_id in stage if node_id not in zone_of]
         if unknown:
             raise UnknownStageTarget(f"there is no seat {encode_ranges(unknown)}")
         return stage
@@ -73,7 +73,7 @@
 ) -> list[int]:
     if name not in zone_names:
         raise UnknownStageTarget(f"there is no zone {name}")
-    return [seat for seat in order if zone_of[seat] == zone_names.index(name)]
+    return [node_id for node_id in order if zone_of[node_id] == zone_names.index(name)]
 
 
 def choose_batch(
@@ -83,8 +83,8 @@
     and one acceptor of the lease. A node that is alone in its zone does not go over, unless all zones have
     one node or all may go at once."""
     has_shared_zones = len(set(zone_of.values())) < len(zone_of)
-    for seat in left:
-        zone = zone_of[seat]
+    for node_id in left:
+        zone = zone_of[node_id]
         peers = [other for other in up if zone_of[other] == zone]
         if max_ratio < 1.0 and len(peers) < 2 and has_shared_zones:
             continue
@@ -96,9 +96,9 @@
 def _fill_batch(candidates: list[int], max_nodes: int, voters: list[int]) -> list[int]:
     batch: list[int] = []
     has_voter = False
-    for seat in candidates:
-        is_voter = seat in voters
+    for node_id in candidates:
+        is_voter = node_id in voters
         if len(batch) < max_nodes and not (is_voter and has_voter):
-            batch.append(seat)
+            batch.append(node_id)
             has_voter = has_voter or is_voter
     return batch
--- a/firwalk/cluster/rollout_state.py
+++ b/firwalk/cluster/rollout_state.py
@@ -31,13 +31,13 @@
         self,
         terms: RolloutPolicy,
         voters: list[int],
-        seats: int,
+        cluster_size: int,
         named: FileLookup,
         event: Callable[..., None] = ignore_event,
     ) -> None:
         self.terms = terms
         self.voters = voters
-        self.seats = seats
+        self.cluster_size = cluster_size
         self.named = named
         self.event = event
         self.section: RolloutSection = {}
@@ -45,9 +45,9 @@
         self.stages: list[list[int]] = []
         self.ordered_at: dict[int, float] = {}  # by node, when the plan named it, or named it no more
 
-    def figures_came(self, now: float, seat: int, generation: int, got: RolloutMetrics) -> None:
+    def figures_came(self, now: float, node_id: int, generation: int, got: RolloutMetrics) -> None:
         """A node's report."""
-        self.nodes.receive(now, seat, generation, got)
+        self.nodes.receive(now, node_id, generation, got)
 
     # -- the nodes -----------------------------------------------------------------------------------------
 
@@ -59,31 +59,31 @@
         return decode_ranges(self.section["new"])
 
     def _zones(self) -> dict[int, int]:
-        letters = self.section["zones"] if self._is_active() else self.nodes.zone_letters(self.seats)
+        letters = self.section["zones"] if self._is_active() else self.nodes.zone_letters(self.cluster_size)
         return decode_zones(letters)
 
-    def _is_fresh(self, now: float, seat: int) -> bool:
+    def _is_fresh(self, now: float, node_id: int) -> bool:
         max_age_s = max(MAX_REPORT_AGE * self.terms.report, MIN_REPORT_AGE_S)
-        return self.nodes.is_fresh(now, seat, max_age_s * (1.0 if self._is_active() else IDLE_AGE_FACTOR))
+        return self.nodes.is_fresh(now, node_id, max_age_s * (1.0 if self._is_active() else IDLE_AGE_FACTOR))
 
-    def _runs_old(self, now: float, seat: int) -> bool:
+    def _runs_old(self, now: float, node_id: int) -> bool:
         section = self.section
-        return self._is_fresh(now, seat) and self.nodes.runs(seat, section["kind"], section["before"])
+        return self._is_fresh(now, node_id) and self.nodes.runs(node_id, section["kind"], section["before"])
 
-    def _settled(self, now: float, seat: int) -> bool:
+    def _settled(self, now: float, node_id: int) -> bool:
         """Whether it reports from the new version for long enough: a restarted acceptor is silent for a
         while."""
-        wait_s = self.terms.settle if seat in self.voters else min(self.terms.settle, MAX_SETTLE_S)
+        wait_s = self.terms.settle if node_id in self.voters else min(self.terms.settle, MAX_SETTLE_S)
         section = self.section
-        if not self._is_fresh(now, seat) or not self.nodes.runs(seat, section["kind"], section["what"]):
+        if not self._is_fresh(now, node_id) or not self.nodes.runs(node_id, section["kind"], section["what"]):
             return False
-        return now >= self.nodes.metrics[seat].since + wait_s
+        return now >= self.nodes.metrics[node_id].since + wait_s
 
     def _down_zone(self, up: list[int]) -> str:
         zone_of = self._zones()
         for zone in sorted(set(zone_of.values())):
-            nodes = [seat for seat in zone_of if zone_of[seat] == zone]
-            down = [seat for seat in nodes if seat not in up]
+            nodes = [node_id for node_id in zone_of if zone_of[node_id] == zone]
+            down = [node_id for node_id in nodes if node_id not in up]
             if len(down) > MAX_DOWN_RATIO * len(nodes):
                 name = self.terms.names[zone] if zone < len(self.terms.names) else str(zone)
                 return f"most nodes of zone {name} are down"
@@ -91,9 +91,10 @@
 
     def _late_nodes(self, now: float, new: list[int]) -> str:
         late = [
-            seat
-            for seat in new
-            if now >= self.ordered_at.get(seat, now) + CHANGEOVER_TIMEOUT_S and not self._settled(now, seat)
+            node_id
+            for node_id in new
+            if now >= self.ordered_at.get(node_id, now) + CHANGEOVER_TIMEOUT_S
+            and not self._settled(now, node_id)
         ]
         return f"seats {encode_ranges(late)} do not go over" if late else ""
 
@@ -114,14 +115,14 @@
     def _batch(self, left: list[int], up: list[int], max_ratio: float) -> list[int]:
         return choose_batch(left, up, max_ratio, self._zones(), self.voters)
 
-    def _order(self, now: float, seats: list[int]) -> None:
+    def _order(self, now: float, node_ids: list[int]) -> None:
         """These nodes are to be on the new version, all others on the old one."""
         before = self._new_nodes()
-        added = [seat for seat in seats if seat not in before]
-        removed = [seat for seat in before if seat not in seats]
+        added = [node_id for node_id in node_ids if node_id not in before]
+        removed = [node_id for node_id in before if node_id not in node_ids]
         if added or removed:
             self.ordered_at |= dict.fromkeys(added + removed, now)
-            self.section = {**self.section, "new": encode_ranges(seats)}
+            self.section = {**self.section, "new": encode_ranges(node_ids)}
             self._record_state()
 
     def _enter(self, state: str, why: str = "", by: str = "") -> None:
--- a/firwalk/lab/purses.py
+++ b/firwalk/lab/purses.py
@@ -75,7 +75,7 @@
             ),
         )
         if self.staged:
-            seat.changing = Staging(self)
+            seat.rollout_controller = Staging(self)
         seat.follower.changed = made.follow
         self.prepare(made)
         made.has(self.contracts[getattr(self, "newest", 0)])
--- a/firwalk/net/cluster.py
+++ b/firwalk/net/cluster.py
@@ -39,12 +39,12 @@
         before this one grants anything."""
         generation = int.from_bytes(os.urandom(GENERATION_BYTES))
         now = time.monotonic()
-        self.seat = self._build_member(generation, now)
-        self._build_parts(self.seat, now)
+        self.member = self._build_member(generation, now)
+        self._build_parts(self.member, now)
         self.event("began", life=generation)
-        self.seat.start(now)
-        if self.changing is not None:
-            self.changing.start(now)
+        self.member.start(now)
+        if self.rollout_controller is not None:
+            self.rollout_controller.start(now)
 
     def _build_member(self, generation: int, now: float) -> ClusterMember:
         operations = self.operations
@@ -69,33 +69,35 @@
         operations = self.operations
         if operations.zones or operations.budgets:
             zone_count = len(self.zones) if operations.zones else 0
-            self.spending = build_quota_accounting(operations, member)
-            self.steering = PlanEnforcer(member, self.dispatcher, self.zone, zone_count, now, self.spending)
+            self.quota_accounting = build_quota_accounting(operations, member)
+            self.plan_enforcer = PlanEnforcer(
+                member, self.dispatcher, self.zone, zone_count, now, self.quota_accounting
+            )
         if operations.stages:
-            self.changing = build_rollout_controller(
+            self.rollout_controller = build_rollout_controller(
                 operations, operations.stages, member, self.dispatcher, self.tag, self.zone, self.zones
             )
-        if self.changing is not None and self.spending is not None:
-            self.changing.contracts_version = self.spending.version
+        if self.rollout_controller is not None and self.quota_accounting is not None:
+            self.rollout_controller.contracts_version = self.quota_accounting.version
 
     def stop(self) -> None:
         """Another process of this node speaks for it from now on, or none does. The lease is returned first,
         so that a node never has two members with a lease."""
-        if self.seat is None:
+        if self.member is None:
             return
-        if self.seat.candidate is not None:
-            self.seat.candidate.release(time.monotonic())
+        if self.member.proposer is not None:
+            self.member.proposer.release(time.monotonic())
         self.event("ended")
-        self.seat = None
-        self.changing = None
+        self.member = None
+        self.rollout_controller = None
         self.dispatcher.rollout_counters = None
-        if self.steering is not None:
-            self.steering.stop()  # nothing is reported any more, so nothing is counted
+        if self.plan_enforcer is not None:
+            self.plan_enforcer.stop()  # nothing is reported any more, so nothing is counted
 
     def leave(self) -> None:
         """The node ends in good order."""
-        if self.seat is not None:
-            self.seat.leave(time.monotonic())
+        if self.member is not None:
+            self.member.leave(time.monotonic())
             self.stop()
 
     # -- reload --------------------------------------------------------------------------------------------
@@ -108,20 +110,20 @@
             for name in self.operations.__struct_fields__
         }
         self.operations = OperationsConfig(**merged)
-        if self.seat is not None:
+        if self.member is not None:
             current = self.operations
-            self.seat.retuned(
+            self.member.retuned(
                 period=current.members.period,
                 answer=current.members.answer,
                 report=current.plan.report,
                 hold=current.plan.hold,
                 zones=current.zones.terms(self.zones) if current.zones else None,
             )
-        if self.spending is not None:
+        if self.quota_accounting is not None:
             if self.operations.budgets is not None:
-                load_contracts(self.operations.budgets.contracts, self.spending)
-            if self.seat is not None:  # a file that a rollout wants may have come meanwhile
-                self.spending.follow(time.monotonic())
+                load_contracts(self.operations.budgets.contracts, self.quota_accounting)
+            if self.member is not None:  # a file that a rollout wants may have come meanwhile
+                self.quota_accounting.follow(time.monotonic())
         return fixed
 
     def _parts_needing_restart(self, operations: OperationsConfig) -> list[str]:
@@ -143,7 +145,7 @@
 
     def datagram_came(self, data: bytes, number: int) -> None:
         """Handle a datagram from the configured address of node `number`."""
-        if self.seat is None:
+        if self.member is None:
             return
         try:
             sender, generation, incarnation, message = messages.decode(self.checksum, data)
@@ -154,7 +156,7 @@
             return
         self.received += 1
         try:
-            self.seat.received(time.monotonic(), sender, generation, incarnation, message)
+            self.member.received(time.monotonic(), sender, generation, incarnation, message)
         except Exception as problem:
             log_exception("taking a datagram of the cluster", problem)
 
--- a/firwalk/net/cluster_commands.py
+++ b/firwalk/net/cluster_commands.py
@@ -84,7 +84,7 @@
 
     async def _show_quotas(self) -> CommandReply:
         """Each tenant that has anything at this node."""
-        accounting = self.cluster.spending
+        accounting = self.cluster.quota_accounting
         if accounting is None or accounting.ledger.contracts is None:
             return CommandReply("", "no contracts are in force at this node")
         tenants = accounting.shown(time.monotonic())
@@ -93,7 +93,9 @@
     async def _show_zones(self) -> CommandReply:
         """The zones by the plan that this node follows."""
         cluster = self.cluster
-        sections = cluster.seat.follower.now_in_force(time.monotonic()) if cluster.seat is not None else None
+        sections = (
+            cluster.member.follower.now_in_force(time.monotonic()) if cluster.member is not None else None
+        )
         section = (sections or {}).get("zones")
         if not section:
             return CommandReply("", "no plan in force tells of zones: all traffic stays near")
@@ -108,14 +110,14 @@
 
     async def _show_wanted(self) -> CommandReply:
         """What the plan in force wants this node to run, and what it runs."""
-        controller = self.cluster.changing
+        controller = self.cluster.rollout_controller
         if controller is None:
             return CommandReply("", "another process speaks for this node")
         wanted = controller.wanted(time.monotonic())
         return CommandReply(f"{wanted} runs {controller.release or '-'} {self.cluster.tag() or '-'}")
 
     async def _show_rollout(self) -> CommandReply:
-        controller = self.cluster.changing
+        controller = self.cluster.rollout_controller
         section = controller.section(time.monotonic()) if controller is not None else None
         if section is None:
             return CommandReply("", "no plan is in force here")
@@ -150,7 +152,7 @@
     async def _send_rollout_command(
         self, word: str, name: str = "", check: int = 0, text: str = ""
     ) -> CommandReply:
-        member = self.cluster.seat
+        member = self.cluster.member
         if member is None:
             return CommandReply("", "another process speaks for this node")
         short_name = name[:MAX_ROLLOUT_NAME_CHARS]
@@ -159,7 +161,7 @@
         )
 
     async def _send_zone_command(self, word: str, zone: int) -> CommandReply:
-        member = self.cluster.seat
+        member = self.cluster.member
         if member is None:
             return CommandReply("", "another process speaks for this node")
         return await self._await_leader(lambda now, on_result: member.wish(now, word, zone, on_result))
@@ -177,10 +179,10 @@
 
 def status_line(cluster: ClusterState) -> str:
     """Return one line on the cluster as this node sees it."""
-    if cluster.seat is None:
+    if cluster.member is None:
         return "no seat: another process speaks for this node"
     now = time.monotonic()
-    follower = cluster.seat.follower
+    follower = cluster.member.follower
     term, version = follower.stamp
     plan_state = "over" if version else "none"
     if follower.now_in_force(now) is not None:
@@ -188,7 +190,7 @@
     words = {
         "seat": cluster.number,
         "seats": len(cluster.addresses),
-        **cluster.seat.members.counts(),
+        **cluster.member.members.counts(),
         "coordinator": follower.office[1] if follower.office != NOBODY else "none",
         "ballot": ".".join(map(str, term)),
         "version": version,
--- a/firwalk/net/cluster_host.py
+++ b/firwalk/net/cluster_host.py
@@ -24,14 +24,14 @@
         self.cluster = cluster
 
     def _is_current(self) -> bool:
-        return self.cluster.seat is not None and self.cluster.seat.host is self
+        return self.cluster.member is not None and self.cluster.member.host is self
 
     def tell(self, node_id: int, message: Message) -> None:
         """Send a datagram; one to the own node is delivered by the loop."""
         cluster = self.cluster
-        if cluster.seat is None:
+        if cluster.member is None:
             return
-        me = cluster.seat.members.me
+        me = cluster.member.members.me
         if node_id == cluster.number:
             cluster.loop.call_soon(self._deliver_locally, me.generation, me.incarnation, message)
             return
@@ -41,8 +41,8 @@
         cluster.send(data, cluster.addresses[node_id])
 
     def _deliver_locally(self, generation: int, incarnation: int, message: Message) -> None:
-        if self._is_current() and self.cluster.seat is not None:
-            self.cluster.seat.received(
+        if self._is_current() and self.cluster.member is not None:
+            self.cluster.member.received(
                 time.monotonic(), self.cluster.number, generation, incarnation, message
             )
 
--- a/firwalk/net/cluster_state.py
+++ b/firwalk/net/cluster_state.py
@@ -22,7 +22,7 @@
 
 
 class ClusterState:
-    """The node's part in the cluster; `seat` is None while another process speaks for the node."""
+    """The node's part in the cluster; `member` is None while another process speaks for the node."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         self.zones: list[str] = config["settings"].get("azs") or []
         self.number: int = config["settings"].get("self-index", 0)
         self.checksum = messages.cluster_checksum(operations.fleet.name)
-        self.seat: ClusterMember | None = None
-        self.steering: PlanEnforcer | None = None
-        self.spending: QuotaAccounting | None = None
-        self.changing: RolloutController | None = None
+        self.member: ClusterMember | None = None
+        self.plan_enforcer: PlanEnforcer | None = None
+        self.quota_accounting: QuotaAccounting | None = None
+        self.rollout_controller: RolloutController | None = None
         self.tag: Callable[[], str] = lambda: ""  # of the configuration in force
         self.received = 0
         self.sent = 0
@@ -55,6 +55,6 @@
     def event(self, what: str, **fields: object) -> None:
         """Record an event: all of them as JSON, or those that matter to operators as sentences."""
         if self.operations.log.events == "all":
-            log_event_json(what, self.number, self.seat.generation if self.seat else 0, fields)
+            log_event_json(what, self.number, self.member.generation if self.member else 0, fields)
         else:
             log_event_text(what, fields)
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -21,19 +21,19 @@
 
 @_of
 def voter_grants_at_once_after_its_start(seat):
-    if seat.voter:
-        seat.voter.silent_until = 0.0
+    if seat.acceptor:
+        seat.acceptor.silent_until = 0.0
 
 
 @_of
 def voter_forgets_what_it_accepted(seat):
-    if seat.voter:
-        seat.voter.lease_holder = lambda now: None
+    if seat.acceptor:
+        seat.acceptor.lease_holder = lambda now: None
 
 
 @_of
 def voter_accepts_below_its_promise(seat):
-    voter = seat.voter
+    voter = seat.acceptor
 
     def on_propose(now, sender, message):
         if now >= voter.silent_until:
@@ -47,7 +47,7 @@
 
 @_of
 def voter_promises_any_ballot(seat):
-    voter = seat.voter
+    voter = seat.acceptor
 
     def on_prepare(now, sender, ballot):
         if now >= voter.silent_until:
@@ -60,7 +60,7 @@
 
 @_of
 def voter_counts_half_of_the_length(seat):
-    voter = seat.voter
+    voter = seat.acceptor
 
     def on_propose(now, sender, message):
         lease.Acceptor.on_propose(voter, now, sender, message)
@@ -73,7 +73,7 @@
 
 @_of
 def holder_counts_from_the_last_accept(seat):
-    candidate = seat.candidate
+    candidate = seat.proposer
 
     def on_accept(now, sender, message):
         candidate.proposing_since = now
@@ -85,19 +85,19 @@
 
 @_of
 def holder_holds_for_two_lengths(seat):
-    if seat.candidate:
-        seat.candidate.own_lease_s *= 2
+    if seat.proposer:
+        seat.proposer.own_lease_s *= 2
 
 
 @_of
 def minority_is_enough(seat):
-    if seat.candidate:
-        seat.candidate._is_quorum = lambda supporters: len(supporters) >= len(seat.candidate.voters) // 2
+    if seat.proposer:
+        seat.proposer._is_quorum = lambda supporters: len(supporters) >= len(seat.proposer.voters) // 2
 
 
 @_of
 def candidate_passes_over_another_holder(seat):
-    candidate = seat.candidate
+    candidate = seat.proposer
 
     def on_promise(now, sender, generation, message):
         lease.Proposer.on_promise(candidate, now, sender, generation, Promise(message.ballot, None))
@@ -109,8 +109,8 @@
 @_of
 def holder_acts_after_its_end(seat):
     """Woken from a long sleep it goes on in the old name."""
-    if seat.writer:
-        seat.writer.in_office = lambda now: seat.candidate.term != NOBODY
+    if seat.plan_publisher:
+        seat.plan_publisher.in_office = lambda now: seat.proposer.term != NOBODY
 
 
 @_of
@@ -169,7 +169,7 @@
 @_of
 def writer_counts_no_changes(seat):
     """Two plans under one stamp."""
-    writer = seat.writer
+    writer = seat.plan_publisher
 
     def set_section(now, name, section):
         done = plan_publisher.PlanPublisher.set_section(writer, now, name, section)
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -66,7 +66,7 @@
 
     def soon(self, seat, generation, got):
         heard(self, seat, generation, got)
-        if 2 * len(self.complete) >= len(self.seats()):
+        if 2 * len(self.complete) >= len(self.node_ids()):
             self.renews_until = 0.0
 
     patch.setattr(QuotaAllocator, "_count_turn", soon)
@@ -525,7 +525,7 @@
 
 def test_a_new_coordinator_begins_as_soon_as_all_have_told_all_that_they_have():
     nodes = Nodes(grace=True)
-    nodes.dealer.seats = lambda: [0, 1, 2]
+    nodes.dealer.node_ids = lambda: [0, 1, 2]
     nodes.has[0, 1], nodes.marks[0, 1] = (1, 4 * MILLION), 1
 
     def tells(node, first, last, rows, mark):
--- a/tests/cluster/test_plan.py
+++ b/tests/cluster/test_plan.py
@@ -106,10 +106,10 @@
         encode_plan({"a": "x" * MAX_PIECES * PIECE_BYTES})
     made, _ = world(10.0)
     process = made.processes[made.coordinator()]
-    before = process.seat.writer.stamp()
+    before = process.seat.plan_publisher.stamp()
     with pytest.raises(PlanTooLarge):
         process.seat.set_section(process.clock(), "long", "x" * 20000)
-    assert process.seat.writer.stamp() == before
+    assert process.seat.plan_publisher.stamp() == before
 
 
 def test_a_spoilt_piece_is_asked_for_again():
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -613,7 +613,7 @@
     )
     members = SimpleNamespace(counts=lambda: {"up": 3, "suspect": 0})
     one = SimpleNamespace(
-        seat=SimpleNamespace(follower=follower, members=members),
+        member=SimpleNamespace(follower=follower, members=members),
         number=1,
         addresses=["a", "b", "c"],
         dropped={"garbage": 2},
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -207,7 +207,7 @@
 def test_event_of_a_node_among_others(capfd):
     """The same of what a node decides in common with others."""
     one = SimpleNamespace(
-        operations=SimpleNamespace(log=operations.Log("all")), number=4, seat=SimpleNamespace(generation=77)
+        operations=SimpleNamespace(log=operations.Log("all")), number=4, member=SimpleNamespace(generation=77)
     )
     cluster.Cluster.event(one, "plan", term=(5, 2, 9), version=3)
     line = re.sub(r'"at":[0-9.]+', '"at":1.5', capfd.readouterr().err)
