--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -82,14 +82,16 @@
         self.members = Members(
             host, node_id, cluster_size, generation, random_source, period=period, answer=answer
         )
-        self.follower = PlanFollower(host, node_id, random_source, report=timing.report, hold_s=timing.hold)
-        self.members.office = lambda: self.follower.office
+        self.follower = PlanFollower(
+            host, node_id, random_source, report_interval_s=timing.report, hold_s=timing.hold
+        )
+        self.members.leader_term = lambda: self.follower.leader_term
         self.commands = CommandSender(host, self.follower)
         self.contracts = ContractStore()
         self.zone_reporter = ZoneReporter(host, node_id, self.follower)
         self.has_zones = zones is not None
         if budgets_by:
-            self.quota_client = QuotaClient(host, budgets_by, lambda: self.follower.office)
+            self.quota_client = QuotaClient(host, budgets_by, lambda: self.follower.leader_term)
         if node_id in voters:
             acceptor = Acceptor(host, generation, now, lease_s=length, drift=drift)
             self._add_voter_parts(
@@ -181,9 +183,9 @@
 
     # -- leadership --------------------------------------------------------------------------------------
 
-    def coordinates(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this node is the leader at this moment."""
-        return self.plan_publisher is not None and self.plan_publisher.in_office(now)
+        return self.plan_publisher is not None and self.plan_publisher.is_leader(now)
 
     def set_section(self, now: float, name: str, section: Any) -> bool:
         """Change a section of the plan; returns False if this node is not the leader."""
@@ -203,7 +205,7 @@
         if self.plan_publisher is None or self.proposer is None:
             return
         self.plan_publisher.confirm_own_plan(now)
-        if self.plan_publisher.in_office(now):
+        if self.plan_publisher.is_leader(now):
             up = self.members.up()
             changes: PlanSections = {
                 "seats": {"up": encode_ranges(up), "count": len(up)},
@@ -211,8 +213,8 @@
             }
             if self.plan_publisher.version:
                 changes |= self._evaluate_parts(now, up)
-            self.plan_publisher.put(now, changes)
-        self.host.set_timer(now + self.follower.report, self._maintain_plan, None)
+            self.plan_publisher.change_sections(now, changes)
+        self.host.set_timer(now + self.follower.report_interval_s, self._maintain_plan, None)
 
     def _evaluate_parts(self, now: float, node_ids_up: list[int]) -> PlanSections:
         changes: PlanSections = {}
@@ -230,7 +232,7 @@
 
     def wish(self, now: float, word: str, zone: int, on_result: OnResult) -> None:
         """Have a command on a zone carried out by the leader."""
-        if self.coordinates(now):
+        if self.is_leader(now):
             on_result(*self._execute_zone_command(now, word, zone))
         else:
             self.commands.send(now, lambda number: m.OperatorCommand(number, word, zone), on_result)
@@ -241,7 +243,7 @@
         def make_command(number: int) -> m.RolloutCommand:
             return m.RolloutCommand(number, word, name, check, text)
 
-        if self.coordinates(now):
+        if self.is_leader(now):
             assert self.rollout_controller is not None, "commands on rollouts need the rollout controller"
             on_result(*self.rollout_controller.word_came(now, self.node_id, make_command(0)))
         else:
@@ -265,7 +267,7 @@
         if isinstance(message, m.Ping | m.Ack):
             self.follower.on_leader_term(now, message.office)
             if self.plan_publisher is not None:
-                self.plan_publisher.on_leader_term(now, self.follower.office)
+                self.plan_publisher.on_leader_term(now, self.follower.leader_term)
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(now, sender, generation, message)
@@ -335,14 +337,14 @@
     def _on_operator_command(
         self, now: float, sender: int, generation: int, message: m.OperatorCommand
     ) -> None:
-        if self.coordinates(now):
+        if self.is_leader(now):
             outcome = self._execute_zone_command(now, message.word, message.zone)
             self._send_result(sender, message.number, outcome)
 
     def _on_rollout_command(
         self, now: float, sender: int, generation: int, message: m.RolloutCommand
     ) -> None:
-        if self.coordinates(now) and self.rollout_controller is not None:
+        if self.is_leader(now) and self.rollout_controller is not None:
             outcome = CommandOutcome(*self.rollout_controller.word_came(now, sender, message))
             self._send_result(sender, message.number, outcome)
 
@@ -368,7 +370,7 @@
         self.members.period = period
         self.members.answer = answer
         timing = self._scale_timing(report, hold)
-        self.follower.report = timing.report
+        self.follower.report_interval_s = timing.report
         self.follower.hold_s = timing.hold
 
     def _scale_timing(self, report: float, hold: float) -> ReportTiming:
--- a/firwalk/cluster/members.py
+++ b/firwalk/cluster/members.py
@@ -52,8 +52,8 @@
 class Members:
     """The members of the cluster, and the probing that detects their failures.
 
-    `period`: seconds between probes; `answer`: seconds in which a direct ping is answered; `office` returns
-    the newest leader's term that this node knows of.
+    `period`: seconds between probes; `answer`: seconds in which a direct ping is answered; `leader_term`
+    returns the newest leader's term that this node knows of.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self.pending_updates: dict[Member, int] = {}  # how often each is still to be passed on
         self.grace_until = 0.0  # until then silence proves nothing: this node woke late
         self.is_leaving = False
-        self.office: Callable[[], Ballot] = lambda: NOBODY
+        self.leader_term: Callable[[], Ballot] = lambda: NOBODY
 
     def start(self, now: float) -> None:
         """Begin to probe, at a random point of the period."""
@@ -158,7 +158,7 @@
         self.last_number += 1
         probe = Probe(self.last_number, member, requester)
         self.probes[probe.number] = probe
-        self.host.tell(member.node_id, Ping(probe.number, self.office(), self._updates_for(member)))
+        self.host.tell(member.node_id, Ping(probe.number, self.leader_term(), self._updates_for(member)))
         return probe
 
     def _probe_indirectly(self, now: float, probe: Probe) -> None:
@@ -250,7 +250,7 @@
     def on_ping(self, now: float, sender: int, message: Ping) -> None:
         """Acknowledge a ping."""
         self.on_updates(now, message.news, sender)
-        self.host.tell(sender, Ack(message.number, self.office(), self._updates_for(self.all[sender])))
+        self.host.tell(sender, Ack(message.number, self.leader_term(), self._updates_for(self.all[sender])))
 
     def on_ping_request(self, now: float, sender: int, message: PingRequest) -> None:
         """Ping a member on the sender's behalf."""
@@ -278,7 +278,7 @@
         requester = probe.requester
         if requester is not None:
             updates = self._updates_for(self.all[requester.node_id])
-            self.host.tell(requester.node_id, Ack(requester.number, self.office(), updates))
+            self.host.tell(requester.node_id, Ack(requester.number, self.leader_term(), updates))
 
     def on_nack(self, now: float, message: Nack) -> None:
         """A helper is up, though the member does not answer it either."""
@@ -364,4 +364,4 @@
         self.me.state = State.LEFT
         others = [member for member in self.all if member.state is State.UP]
         for member in self.random_source.sample(others, 2 * INDIRECT_PROBES):
-            self.host.tell(member.node_id, Ping(0, self.office(), [self.me.to_update()]))
+            self.host.tell(member.node_id, Ping(0, self.leader_term(), [self.me.to_update()]))
--- a/firwalk/cluster/operator_commands.py
+++ b/firwalk/cluster/operator_commands.py
@@ -46,7 +46,7 @@
         command, attempts_left = pending
         if command.number not in self.callbacks:
             return
-        leader_term = self.follower.office
+        leader_term = self.follower.leader_term
         if not attempts_left or leader_term == NOBODY:
             on_result = self.callbacks.pop(command.number)
             on_result(False, "no coordinator answers; nothing may have been done")
--- a/firwalk/cluster/plan_enforcement.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -99,12 +99,12 @@
         self.mix = PriorityMix()
         self.is_reachable = [True] * zones  # by this node's own observations
         dispatcher.cluster_admission = self.admission_weight
-        member.follower.changed = self.follow
+        member.follower.on_plan_changed = self.follow
         if zones:
             self._observe_health(now)
 
     def _observe_health(self, now: float) -> None:
-        observer = HealthObserver(self.zone, self.zones, now, self.member.follower.report)
+        observer = HealthObserver(self.zone, self.zones, now, self.member.follower.report_interval_s)
         observer.on_zone_unavailable = self.member.tell_early
         self.dispatcher.health_observer = observer
         self.member.evidence = self._report
@@ -127,7 +127,7 @@
             self.quotas.follow(now)
         if not self.zones:
             return
-        section = (self.member.follower.now_in_force(now) or {}).get("zones")
+        section = (self.member.follower.sections_in_force(now) or {}).get("zones")
         self.routing = decode_routing(section, self.zone, self.zones)
         self.excluded = decode_excluded(section, self.zones)
         self._exclude_zones()
@@ -153,7 +153,7 @@
             return True
         if self.is_reachable[self.zone] and not self._is_own_zone_drained():
             return True  # What fits nowhere stays local where the zone can be reached.
-        interval_s = self.member.follower.report
+        interval_s = self.member.follower.report_interval_s
         request.ref.retry_after = RETRY_AFTER_REPORTS * interval_s * (0.5 + draw)
         return False
 
--- a/firwalk/cluster/plan_follower.py
+++ b/firwalk/cluster/plan_follower.py
@@ -28,18 +28,24 @@
 class PlanFollower:
     """Follows the leader's plan.
 
-    `report`: seconds between reports to the leader; `hold_s`: seconds for which an answer keeps the plan in
-    force; `office`: the newest leader's term known; `changed`: called when the plan, or whether one is in
-    force, has changed.
+    `report_interval_s`: between reports to the leader; `hold_s`: for which an answer keeps the plan in force;
+    `leader_term`: the newest leader's term known; `on_plan_changed`: called when the plan, or whether one is
+    in force, has changed.
     """
 
     def __init__(
-        self, host: Host, node_id: int, random_source: RandomSource, *, report: float, hold_s: float
+        self,
+        host: Host,
+        node_id: int,
+        random_source: RandomSource,
+        *,
+        report_interval_s: float,
+        hold_s: float,
     ) -> None:
         self.host = host
         self.node_id = node_id
         self.random_source = random_source
-        self.report = report
+        self.report_interval_s = report_interval_s
         self.hold_s = hold_s
         self.stamp = NO_PLAN
         self.encoded = b"{}"
@@ -47,21 +53,23 @@
         self.in_force_until = 0.0
         self.taken_at = 0.0
         self.has_expired = True
-        self.office: Ballot = NOBODY
+        self.leader_term: Ballot = NOBODY
         self.assembly: PlanAssembly | None = None
         self.last_mark = random_source.uint32()
         self.asked_at: dict[int, float] = {}  # by mark
         self.confirmed_at: dict[PlanStamp, float] = {}  # newer plans that were in force then
-        self.hurried: PlanStamp = NO_PLAN  # the plan for which a report was sent out of turn
-        self.changed: Callable[[float], None] = lambda now: None
+        self.early_report_stamp: PlanStamp = NO_PLAN  # the plan for which a report was sent out of turn
+        self.on_plan_changed: Callable[[float], None] = lambda now: None
 
     def start(self, now: float) -> None:
         """Begin to report, at a random point of the interval."""
-        self.host.set_timer(now + self.random_source.fraction() * self.report, self._report_in_turn, None)
+        self.host.set_timer(
+            now + self.random_source.fraction() * self.report_interval_s, self._report_in_turn, None
+        )
 
     # -- the plan in force -------------------------------------------------------------------------------
 
-    def now_in_force(self, now: float) -> PlanSections | None:
+    def sections_in_force(self, now: float) -> PlanSections | None:
         """Return the sections, or None: then each part falls back to its behaviour without a plan."""
         return self.sections if self.stamp != NO_PLAN and now < self.in_force_until else None
 
@@ -78,7 +86,7 @@
         self.encoded = encoded
         self.sections = sections
         self.taken_at = now
-        self.office = max(self.office, stamp.term)
+        self.leader_term = max(self.leader_term, stamp.term)
         self.in_force_until = since + self.hold_s
         self.has_expired = False
         self.assembly = None
@@ -97,7 +105,7 @@
             left=self.in_force_until - now,
         )
         self._schedule_expiry(now)
-        self.changed(now)
+        self.on_plan_changed(now)
 
     def _schedule_expiry(self, now: float) -> None:
         self.host.set_timer(max(self.in_force_until, now), self._expire, self.in_force_until)
@@ -106,7 +114,7 @@
         if not self.has_expired and until == self.in_force_until:
             self.has_expired = True
             self.host.event("plan_over", term=self.stamp.term, version=self.stamp.version)
-            self.changed(now)
+            self.on_plan_changed(now)
 
     def confirm(self, now: float, since: float) -> None:
         """The plan followed was in force at `since`."""
@@ -123,16 +131,16 @@
 
     def on_leader_term(self, now: float, term: Ballot) -> None:
         """A leader's term was heard of: report to a new leader at once."""
-        if self.office < term and term[0] <= self.office[0] + MAX_AHEAD:
-            self.office = term
+        if self.leader_term < term and term[0] <= self.leader_term[0] + MAX_AHEAD:
+            self.leader_term = term
             if term[1] != self.node_id:
                 self.send_report(now)
 
     def _report_in_turn(self, now: float, _: None) -> None:
-        if self.office != NOBODY and self.office[1] != self.node_id:
+        if self.leader_term != NOBODY and self.leader_term[1] != self.node_id:
             self.send_report(now)
         jitter = REPORT_JITTER_MIN + REPORT_JITTER_RANGE * self.random_source.fraction()
-        self.host.set_timer(now + self.report * jitter, self._report_in_turn, None)
+        self.host.set_timer(now + self.report_interval_s * jitter, self._report_in_turn, None)
 
     def send_report(self, now: float) -> None:
         """Tell the leader what this node follows, and ask for what is in force."""
@@ -142,7 +150,7 @@
         assembly = self.assembly
         next_stamp = assembly.stamp if assembly else NO_PLAN
         received = assembly.mask() if assembly else 0
-        self.host.tell(self.office[1], Report(self.last_mark, *self.stamp, *next_stamp, received))
+        self.host.tell(self.leader_term[1], Report(self.last_mark, *self.stamp, *next_stamp, received))
 
     def on_answer(self, now: float, sender: int, message: Answer) -> None:
         """The leader tells which plan is in force."""
@@ -182,9 +190,9 @@
                 self.assembly = None  # damaged on the way: fetched again
         elif since is not None:
             self.take(now, assembly.stamp, encoded, since)
-        elif self.hurried < assembly.stamp and self.office == assembly.stamp.term:
+        elif self.early_report_stamp < assembly.stamp and self.leader_term == assembly.stamp.term:
             # Waiting for the next report in turn would cost half an interval on average.
-            self.hurried = assembly.stamp
+            self.early_report_stamp = assembly.stamp
             self.send_report(now)
 
     def on_fetch(self, now: float, sender: int, message: Fetch) -> None:
--- a/firwalk/cluster/plan_publisher.py
+++ b/firwalk/cluster/plan_publisher.py
@@ -73,7 +73,7 @@
         self.reported: dict[int, PlanStamp] = {}  # by node id
         self.on_opened: Callable[[float], None] = lambda now: None
 
-    def in_office(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this node is the leader at this moment."""
         return self.proposer.is_holder(now) and self.proposer.term != NOBODY
 
@@ -95,7 +95,9 @@
         for node_id in self.node_ids_up():  # they report at once
             if node_id != self.follower.node_id:
                 self.host.tell(node_id, Answer(0, self.proposer.term, 0))
-        self.host.set_timer(now + GATHER_MIN * self.follower.report, self._open, self.proposer.term)
+        self.host.set_timer(
+            now + GATHER_MIN * self.follower.report_interval_s, self._open, self.proposer.term
+        )
 
     def on_lease_lost(self, now: float) -> None:
         """Publish nothing more."""
@@ -107,16 +109,16 @@
 
     def _open(self, now: float, term: Ballot) -> None:
         """Publish the first plan of the term, with the sections of the newest plan known."""
-        if not self.in_office(now) or self.proposer.term != term or self.version:
+        if not self.is_leader(now) or self.proposer.term != term or self.version:
             return
         known = max(self.newest, self.follower.stamp)
-        is_late = now > self.gathering_since + GATHER_MAX * self.follower.report
-        if max(known.term, self.follower.office) > term or known.term == term:
-            self._raise_term(now, max(known.term, self.follower.office))
+        is_late = now > self.gathering_since + GATHER_MAX * self.follower.report_interval_s
+        if max(known.term, self.follower.leader_term) > term or known.term == term:
+            self._raise_term(now, max(known.term, self.follower.leader_term))
             return
         is_missing = known > self.follower.stamp and not (self.fetched and self.fetched.stamp == known)
         if is_missing and not is_late:
-            self.host.set_timer(now + self.follower.report / 2, self._open, term)
+            self.host.set_timer(now + self.follower.report_interval_s / 2, self._open, term)
             return
         best = EncodedPlan(self.follower.stamp, self.follower.encoded)
         if self.fetched:
@@ -134,12 +136,12 @@
             self._announce_term(now)
         else:
             self.proposer.renew_above(now, above)
-        self.host.set_timer(now + self.follower.report / 2, self._open, self.proposer.term)
+        self.host.set_timer(now + self.follower.report_interval_s / 2, self._open, self.proposer.term)
 
     def on_leader_term(self, now: float, term: Ballot) -> None:
         """No one can have become leader while this node holds the lease: a higher term is a stale one, and
         the own term goes above it."""
-        if self.version and self.in_office(now) and term > self.proposer.term:
+        if self.version and self.is_leader(now) and term > self.proposer.term:
             self.version = 0
             self.gathering_since = now
             self._raise_term(now, term)
@@ -148,7 +150,7 @@
 
     def on_report(self, now: float, sender: int, message: Report) -> None:
         """Answer a follower, and send it the pieces that it lacks."""
-        if not self.in_office(now):
+        if not self.is_leader(now):
             return
         stamp = PlanStamp(message.term, message.version)
         self.reported[sender] = stamp
@@ -185,7 +187,7 @@
     def on_piece(self, now: float, piece: Piece) -> None:
         """A piece of the newest plan that others follow, as fetched."""
         stamp = PlanStamp(piece.term, piece.version)
-        if self.version or stamp != self.newest or not self.in_office(now):
+        if self.version or stamp != self.newest or not self.is_leader(now):
             return
         self.assembly = self.assembly or PlanAssembly(piece)
         self.assembly.add(piece)
@@ -196,15 +198,15 @@
     # -- publishing --------------------------------------------------------------------------------------
 
     def set_section(self, now: float, name: str, section: Any) -> bool:
-        """Change one section; see `put`."""
-        return self.put(now, {name: section})
+        """Change one section; see `change_sections`."""
+        return self.change_sections(now, {name: section})
 
-    def put(self, now: float, changes: PlanSections) -> bool:
+    def change_sections(self, now: float, changes: PlanSections) -> bool:
         """Change sections, all in one version; returns False if this node is not the leader.
 
         Raises `PlanTooLarge`; nothing is changed then.
         """
-        if not self.in_office(now):
+        if not self.is_leader(now):
             return False
         sections = self.sections | changes
         if not self.version:
@@ -227,7 +229,7 @@
     def _distribute(self, now: float, distribution: Distribution) -> None:
         """Send the plan to one batch of followers, and schedule the next batch."""
         stamp, node_ids = distribution
-        if not self.in_office(now) or stamp != self.stamp():
+        if not self.is_leader(now) or stamp != self.stamp():
             return
         for node_id in node_ids[:BATCH_FOLLOWERS]:
             if self.reported.get(node_id, NO_PLAN) < stamp:
@@ -244,5 +246,5 @@
 
     def confirm_own_plan(self, now: float) -> None:
         """The leader's own plan stays in force at its node for as long as it is the leader."""
-        if self.version and self.in_office(now):
+        if self.version and self.is_leader(now):
             self.follower.confirm(now, now)
--- a/firwalk/cluster/quota_accounting.py
+++ b/firwalk/cluster/quota_accounting.py
@@ -102,7 +102,7 @@
     def follow(self, now: float) -> None:
         """Changes to the contracts that the plan names, all at once. Without a plan in force those of the
         last one stay, and leases expire by themselves."""
-        sections = self.member.follower.now_in_force(now)
+        sections = self.member.follower.sections_in_force(now)
         checksum = self._planned_checksum(sections) if sections is not None else self.checksum
         if checksum == self.checksum:
             return
--- a/firwalk/cluster/quota_client.py
+++ b/firwalk/cluster/quota_client.py
@@ -43,13 +43,13 @@
 class QuotaClient:
     """Requests leases for all tenants with demand.
 
-    `terms`: the quota policy; `office`: the coordinator's term that this node knows of.
+    `terms`: the quota policy; `leader_term` returns the coordinator's term that this node knows of.
     """
 
-    def __init__(self, host: Host, terms: QuotaPolicy, office: Callable[[], Ballot]) -> None:
+    def __init__(self, host: Host, terms: QuotaPolicy, leader_term: Callable[[], Ballot]) -> None:
         self.host = host
         self.terms = terms
-        self.office = office
+        self.leader_term = leader_term
         self.purses: Callable[[], list[Account]] = list  # all accounts
         self.turned: Callable[[float], None] = _ignore  # called after each request
         self.mark = 0  # of the last request
@@ -58,7 +58,7 @@
         self.pending: dict[int, float] = {}  # by mark: when the request was made
         self.used_marks: dict[int, int] = {}  # by tenant: the request whose answer is in use
         self.requested: dict[int, None] = {}  # tenants with demand or a lease at the last request
-        self.requested_office: Ballot = NOBODY
+        self.requested_term: Ballot = NOBODY
         # A lease is in use for less time than it is granted for, by clocks that drift apart.
         self.safe_length_s = terms.length * (1 - terms.drift) / (1 + terms.drift)
 
@@ -93,12 +93,12 @@
 
     def _request(self, now: float, demands: list[Demand]) -> None:
         """Sends the demands; a request without any tells which contracts the node has."""
-        office = self.office()
-        if office == NOBODY:
+        leader_term = self.leader_term()
+        if leader_term == NOBODY:
             return
-        if office != self.requested_office:
+        if leader_term != self.requested_term:
             # A new coordinator is told all leases: no answer of the one before may add to them.
-            self.requested_office = office
+            self.requested_term = leader_term
             self.pending = {}
         first = self.mark + 1
         last = self.mark + max(-(-len(demands) // MOST_ROWS), 1)
@@ -107,7 +107,7 @@
             self.pending[self.mark] = now
             rows = [self._row(demand) for demand in demands[start : start + MOST_ROWS]]
             request = QuotaRequest(self.mark, self.check, self.ready, rows, first, last)
-            self.host.tell(office[1], request)
+            self.host.tell(leader_term[1], request)
 
     def _row(self, demand: Demand) -> QuotaRequestRow:
         """Without demand and lease all earlier requests are closed. An answer on its way would otherwise make
@@ -124,7 +124,7 @@
         requested_at = self.pending.get(got.mark)
         if requested_at is None or got.check != self.check:
             return
-        if sender != self.requested_office[1] or self.office() != self.requested_office:
+        if sender != self.requested_term[1] or self.leader_term() != self.requested_term:
             return
         length_s = min(got.length / 1e3, self.terms.length)
         until = requested_at + length_s / self.terms.length * self.safe_length_s
--- a/firwalk/cluster/quota_coordination.py
+++ b/firwalk/cluster/quota_coordination.py
@@ -92,7 +92,7 @@
 
     def on_request(self, now: float, node_id: int, generation: int, message: QuotaRequest) -> None:
         """Answer a node's request, if this node is the leader and can."""
-        if not self.publisher.in_office(now):
+        if not self.publisher.is_leader(now):
             return
         self.ready_checksums[node_id] = message.ready
         if self.allocator is not None and self.publisher.version:
--- a/firwalk/cluster/rollout_controller.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -133,7 +133,7 @@
         self.memory = memory
         self.intervals = 0  # since the last report
         self.recorded = RunningConfiguration("", 0)
-        self.reported_office = m.NOBODY
+        self.reported_term = m.NOBODY
         self.contracts_version: Callable[[], int] = _no_contracts  # of those that this node follows
         self.roll: Rollout | None = None  # at nodes that may become the coordinator
         if member.plan_publisher is not None:
@@ -158,7 +158,7 @@
 
     def section(self, now: float) -> RolloutSection | None:
         """Of the plan in force; None: there is none, and nothing is to be changed now."""
-        sections = self.member.follower.now_in_force(now)
+        sections = self.member.follower.sections_in_force(now)
         if sections is None:
             return None
         section: RolloutSection = sections.get("stages", {})
@@ -182,23 +182,23 @@
     # -- reports -------------------------------------------------------------------------------------------
 
     def _report(self, now: float, _: None) -> None:
-        interval_s = self.member.follower.report
-        office = self.member.follower.office
+        interval_s = self.member.follower.report_interval_s
+        leader_term = self.member.follower.leader_term
         if self._configuration() != self.recorded:
             self._record_configuration()
             self.intervals = IDLE_REPORT_INTERVALS  # The coordinator's knowledge of this node is outdated.
         self.intervals += 1
-        if office != m.NOBODY and self._is_report_due(now, office):
+        if leader_term != m.NOBODY and self._is_report_due(now, leader_term):
             self.intervals = 0
-            self.reported_office = office
+            self.reported_term = leader_term
             for message in self.figures(now):
-                self.member.host.tell(office[1], message)
+                self.member.host.tell(leader_term[1], message)
         self.member.host.set_timer(now + interval_s, self._report, None)
 
-    def _is_report_due(self, now: float, office: m.Ballot) -> bool:
+    def _is_report_due(self, now: float, leader_term: m.Ballot) -> bool:
         """Seldom without a rollout, but at once for a new coordinator."""
         is_active = (self.section(now) or {}).get("state") in (GOING, HELD, BACK)
-        return is_active or self.intervals >= IDLE_REPORT_INTERVALS or office != self.reported_office
+        return is_active or self.intervals >= IDLE_REPORT_INTERVALS or leader_term != self.reported_term
 
     def figures(self, now: float) -> list[m.RolloutMetrics]:
         """The report, in as many messages as it needs."""
@@ -218,7 +218,7 @@
 
     def came(self, now: float, node_id: int, generation: int, got: m.RolloutMetrics) -> None:
         """A node's report."""
-        if self.roll is not None and self.member.plan_publisher.in_office(now):
+        if self.roll is not None and self.member.plan_publisher.is_leader(now):
             self.roll.figures_came(now, node_id, generation, got)
 
     def opened(self, now: float, section: Any) -> None:
@@ -255,7 +255,7 @@
         up = self.member.members.up()
         if (
             roll is None
-            or not self.member.plan_publisher.in_office(now)
+            or not self.member.plan_publisher.is_leader(now)
             or not self.member.plan_publisher.version
         ):
             return False, "the coordinator is just coming into office; ask again"
@@ -275,5 +275,5 @@
             return False, "no such word"
         reason = commands[got.word]()
         if not reason:
-            self.member.plan_publisher.put(now, self.look(now, up))
+            self.member.plan_publisher.change_sections(now, self.look(now, up))
         return not reason, reason
--- a/firwalk/cluster/zone_coordination.py
+++ b/firwalk/cluster/zone_coordination.py
@@ -51,21 +51,21 @@
 
     def start(self, now: float) -> None:
         """Begin to report regularly."""
-        self.host.set_timer(now + self.follower.report, self._report, None)
+        self.host.set_timer(now + self.follower.report_interval_s, self._report, None)
 
     def _report(self, now: float, _: None) -> None:
-        leader_term = self.follower.office
+        leader_term = self.follower.leader_term
         if self.observe is not None and leader_term != NOBODY and leader_term[1] != self.node_id:
             self.host.tell(leader_term[1], self.observe(now))
-        self.host.set_timer(now + self.follower.report, self._report, None)
+        self.host.set_timer(now + self.follower.report_interval_s, self._report, None)
 
     def report_early(self) -> None:
         """A zone turned unhealthy: report out of turn, at most once per interval."""
         self.host.set_timer(0.0, self._report_early, None)
 
     def _report_early(self, now: float, _: None) -> None:
-        leader_term = self.follower.office
-        if now < self.reported_early_at + self.follower.report:
+        leader_term = self.follower.leader_term
+        if now < self.reported_early_at + self.follower.report_interval_s:
             return
         if self.observe_early is None or leader_term == NOBODY:
             return
@@ -124,7 +124,7 @@
 
     def on_observations(self, now: float, node_id: int, message: HealthObservations) -> None:
         """A node's report; an alarming one brings the next evaluation forward."""
-        if self.zones is None or not self.publisher.in_office(now):
+        if self.zones is None or not self.publisher.is_leader(now):
             return
         self.zone_of[node_id] = message.zone
         self.zones.told_by(now, node_id, message.zone, *views(message), message.early)
@@ -134,13 +134,13 @@
 
     def _evaluate_early(self, now: float, _: None) -> None:
         self.is_early_evaluation_due = False
-        if self.zones is None or not self.publisher.in_office(now) or not self.publisher.version:
+        if self.zones is None or not self.publisher.is_leader(now) or not self.publisher.version:
             return
         before = self._snapshot(self.zones)
-        report_interval_s = self.publisher.follower.report
+        report_interval_s = self.publisher.follower.report_interval_s
         if self.zones.glance(now, report_interval_s, self.members.up(), self.zone_of):
             self._record_changes(self.zones, before)
-            self.publisher.put(now, self._section(self.zones))
+            self.publisher.change_sections(now, self._section(self.zones))
 
     def execute(self, now: float, word: str, number: int) -> CommandOutcome:
         """Carry out an operator's command: drain, restore, or dry, which only tells what a drain would do."""
@@ -153,7 +153,7 @@
         if reason:
             return CommandOutcome(False, reason)
         self.host.event("zone_wish", number=number, word=word)
-        self.publisher.put(now, self._section(self.zones))
+        self.publisher.change_sections(now, self._section(self.zones))
         return CommandOutcome(True, "")
 
     def _drain_as_configured(self, now: float, zones: Zones) -> None:
--- a/firwalk/lab/purses.py
+++ b/firwalk/lab/purses.py
@@ -76,7 +76,7 @@
         )
         if self.staged:
             seat.rollout_controller = Staging(self)
-        seat.follower.changed = made.follow
+        seat.follower.on_plan_changed = made.follow
         self.prepare(made)
         made.has(self.contracts[getattr(self, "newest", 0)])
         return seat
--- a/firwalk/lab/virtual.py
+++ b/firwalk/lab/virtual.py
@@ -166,7 +166,7 @@
         for process in self.processes:
             if process.alive and self.now >= process.paused_until:
                 now = process.clock()
-                if process.seat.coordinates(now):
+                if process.seat.is_leader(now):
                     process.seat.set_section(now, f"part{count % 3}", [count] * 60)
         if self.schedule.changes:
             self.later(self.now + self.schedule.changes, self._change, count + 1)
@@ -266,7 +266,7 @@
     def coordinator(self) -> int | None:
         for process in self.processes:
             awake = process.alive and self.now >= process.paused_until
-            if awake and process.seat.coordinates(process.clock()):
+            if awake and process.seat.is_leader(process.clock()):
                 return process.number
         return None
 
--- a/firwalk/net/cluster_commands.py
+++ b/firwalk/net/cluster_commands.py
@@ -94,7 +94,9 @@
         """The zones by the plan that this node follows."""
         cluster = self.cluster
         sections = (
-            cluster.member.follower.now_in_force(time.monotonic()) if cluster.member is not None else None
+            cluster.member.follower.sections_in_force(time.monotonic())
+            if cluster.member is not None
+            else None
         )
         section = (sections or {}).get("zones")
         if not section:
@@ -185,13 +187,13 @@
     follower = cluster.member.follower
     term, version = follower.stamp
     plan_state = "over" if version else "none"
-    if follower.now_in_force(now) is not None:
+    if follower.sections_in_force(now) is not None:
         plan_state = "holds"
     words = {
         "seat": cluster.number,
         "seats": len(cluster.addresses),
         **cluster.member.members.counts(),
-        "coordinator": follower.office[1] if follower.office != NOBODY else "none",
+        "coordinator": follower.leader_term[1] if follower.leader_term != NOBODY else "none",
         "ballot": ".".join(map(str, term)),
         "version": version,
         "age": f"{now - follower.taken_at:.2f}" if version else "none",
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -110,7 +110,7 @@
 def holder_acts_after_its_end(seat):
     """Woken from a long sleep it goes on in the old name."""
     if seat.plan_publisher:
-        seat.plan_publisher.in_office = lambda now: seat.proposer.term != NOBODY
+        seat.plan_publisher.is_leader = lambda now: seat.proposer.term != NOBODY
 
 
 @_of
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -220,7 +220,7 @@
         )
 
     def sent(self, now, process, seat, message):
-        if now < 3.0 or self.killed or not process.alive or not process.seat.coordinates(process.clock()):
+        if now < 3.0 or self.killed or not process.alive or not process.seat.is_leader(process.clock()):
             return
         if isinstance(message, QuotaGrant | Answer | Piece | Prepare | Propose):
             self.left -= 1
--- a/tests/cluster/test_fleet_virtual.py
+++ b/tests/cluster/test_fleet_virtual.py
@@ -102,7 +102,7 @@
     fleet = Fleet(told, 1)
     if in_turn:
         for process in fleet.world.processes:
-            process.seat.follower.hurried = ((2**40, 0, 0), 0)
+            process.seat.follower.early_report_stamp = ((2**40, 0, 0), 0)
     fleet.run(SETTLE)
     decided = next(
         at for at, _, _, what, about in fleet.world.history if what == "zone" and about["mode"] == "away"
--- a/tests/cluster/test_plan.py
+++ b/tests/cluster/test_plan.py
@@ -29,7 +29,9 @@
 
 
 def in_force(made):
-    return [process.seat.follower.now_in_force(process.clock()) is not None for process in made.processes]
+    return [
+        process.seat.follower.sections_in_force(process.clock()) is not None for process in made.processes
+    ]
 
 
 def both_ways(at, length, a, b):
@@ -90,7 +92,7 @@
 
 def test_a_plan_holds_from_the_question_however_late_the_answer():
     box = Box()
-    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold_s=3.0)
+    follower = PlanFollower(box, 3, RandomSource(1), report_interval_s=0.5, hold_s=3.0)
     stamp = ((4, 0, 9), 2)
     follower.on_leader_term(10.0, stamp[0])
     mark = box.sent[-1][1].mark
@@ -98,7 +100,7 @@
         follower.on_piece(12.5, piece)
     assert follower.sections == {}  # pieces alone tell nothing of its time
     follower.on_answer(12.5, 0, Answer(mark, *stamp))
-    assert follower.now_in_force(12.9) == {"a": 1} and follower.now_in_force(13.1) is None
+    assert follower.sections_in_force(12.9) == {"a": 1} and follower.sections_in_force(13.1) is None
 
 
 def test_a_plan_too_long_for_its_pieces_is_turned_down_whole():
@@ -114,7 +116,7 @@
 
 def test_a_spoilt_piece_is_asked_for_again():
     box = Box()
-    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold_s=3.0)
+    follower = PlanFollower(box, 3, RandomSource(1), report_interval_s=0.5, hold_s=3.0)
     stamp = ((4, 0, 9), 2)
     follower.on_leader_term(10.0, stamp[0])
     parts = split_plan(stamp, encode_plan({"a": "x" * 300}))
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -23,12 +23,12 @@
 class Follower:
     """A plan as a test says it; None: none is in force."""
 
-    report, changed = 0.5, None
+    report_interval_s, on_plan_changed = 0.5, None
 
     def __init__(self):
         self.zones = None
 
-    def now_in_force(self, now):
+    def sections_in_force(self, now):
         return None if self.zones is None else {"zones": self.zones}
 
 
@@ -61,7 +61,7 @@
             "away": {str(a): part for a, part in (away or {}).items()},
             "panic": panic,
         }
-        self.seat.follower.changed(self.now)
+        self.seat.follower.on_plan_changed(self.now)
 
     def met(self, zone, missed, tried=10):
         """What this node met there since it told last."""
@@ -114,7 +114,7 @@
         node.plan((AWAY, OPEN, OPEN), {0: {0: 1.0}}, panic=True)
     elif end == "over":
         node.seat.follower.zones = None
-        node.seat.follower.changed(node.now)
+        node.seat.follower.on_plan_changed(node.now)
     else:
         node.steering.stop()
     zones, away = node.took()
--- a/tests/cluster/test_zones_virtual.py
+++ b/tests/cluster/test_zones_virtual.py
@@ -42,7 +42,7 @@
 def keeps(world, zone, seat):
     """Which part of its zone's tasks a node's plan in force keeps there."""
     process = world.processes[seat]
-    sections = process.seat.follower.now_in_force(process.clock()) or {}
+    sections = process.seat.follower.sections_in_force(process.clock()) or {}
     parts, _ = decode_routing(sections.get("zones"), zone, ZONES)
     return sum(
         upto - below
--- a/tests/fleet/doubles.py
+++ b/tests/fleet/doubles.py
@@ -127,7 +127,7 @@
 
     def take(self, now, stamp, text, since):
         sections = msgspec.json.decode(text)
-        if self.office[1] != self.node_id:
+        if self.leader_term[1] != self.node_id:
             for name in list(sections)[1:]:
                 sections[name] = self.sections.get(name)
         return real(self, now, stamp, msgspec.json.encode(sections, order="deterministic"), since)
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -609,7 +609,7 @@
 def test_line_on_the_cluster(version, line):
     """How the fleet looks from a node; the age differs."""
     follower = SimpleNamespace(
-        stamp=((5, 2, 9), version), office=(5, 2, 9), taken_at=0.0, now_in_force=lambda now: None
+        stamp=((5, 2, 9), version), leader_term=(5, 2, 9), taken_at=0.0, sections_in_force=lambda now: None
     )
     members = SimpleNamespace(counts=lambda: {"up": 3, "suspect": 0})
     one = SimpleNamespace(
