--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -179,7 +179,7 @@
         """This node has these contracts, and follows them when the plan names them."""
         self.contracts.add_newest(contracts)
         if self.quota_client is not None:
-            self.quota_client.ready = contracts.check
+            self.quota_client.ready = contracts.checksum
 
     # -- leadership --------------------------------------------------------------------------------------
 
@@ -237,11 +237,11 @@
         else:
             self.commands.send(now, lambda number: m.OperatorCommand(number, word, zone), on_result)
 
-    def word(self, now: float, word: str, name: str, check: int, text: str, on_result: OnResult) -> None:
+    def word(self, now: float, word: str, name: str, argument: int, text: str, on_result: OnResult) -> None:
         """Have a command on a rollout carried out by the leader."""
 
         def make_command(number: int) -> m.RolloutCommand:
-            return m.RolloutCommand(number, word, name, check, text)
+            return m.RolloutCommand(number, word, name, argument, text)
 
         if self.is_leader(now):
             assert self.rollout_controller is not None, "commands on rollouts need the rollout controller"
@@ -265,7 +265,7 @@
         if sender != self.node_id:  # a proposer asks its own acceptor the same way as the others
             self.members.on_header(now, sender, generation, incarnation)
         if isinstance(message, m.Ping | m.Ack):
-            self.follower.on_leader_term(now, message.office)
+            self.follower.on_leader_term(now, message.leader_term)
             if self.plan_publisher is not None:
                 self.plan_publisher.on_leader_term(now, self.follower.leader_term)
         handler = self._handlers.get(type(message))
--- a/firwalk/cluster/health_observations.py
+++ b/firwalk/cluster/health_observations.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from firwalk.cluster import messages
-from firwalk.cluster.messages import MOST_ZONES, HealthObservations
+from firwalk.cluster.messages import MAX_ZONES, HealthObservations
 from firwalk.cluster.zone_observation import MIN_ATTEMPTS, ZoneObservation
 
 DEMAND_WINDOW_REPORTS = 6.0  # reports over which the clients' demand is averaged
@@ -85,7 +85,7 @@
 
     def early_report(self, capacities: list[float]) -> HealthObservations:
         """The observations so far, between two reports; they all count in the next report again."""
-        rows = [self._row(zone, capacities) for zone in range(min(self.zones, MOST_ZONES))]
+        rows = [self._row(zone, capacities) for zone in range(min(self.zones, MAX_ZONES))]
         return HealthObservations(self.zone, int(self.demand * MILLI), rows, True)
 
     def report(self, now: float, capacities: list[float]) -> HealthObservations:
@@ -95,7 +95,7 @@
         """
         self._measure_demand(now)
         rows = []
-        for zone in range(min(self.zones, MOST_ZONES)):
+        for zone in range(min(self.zones, MAX_ZONES)):
             rows.append(self._row(zone, capacities))
             self._close_report(zone)
         return HealthObservations(self.zone, int(self.demand * MILLI), rows)
@@ -147,9 +147,9 @@
     """Decodes a report: the demand of the sender's clients, and what it observed by zone."""
     observations = {
         zone: ZoneObservation(attempts, unreachable, errors, start_ms / MILLI, capacity / MILLI)
-        for zone, attempts, unreachable, errors, start_ms, capacity in message.views
+        for zone, attempts, unreachable, errors, start_ms, capacity in message.observations
     }
-    return message.asks / MILLI, observations
+    return message.demand / MILLI, observations
 
 
 def _ignore() -> None:
--- a/firwalk/cluster/lease.py
+++ b/firwalk/cluster/lease.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Sized
 
 from firwalk.cluster.host import Host
-from firwalk.cluster.messages import NOBODY, Accept, Ballot, Prepare, Promise, Propose, Refuse, Release
+from firwalk.cluster.messages import NO_BALLOT, Accept, Ballot, Prepare, Promise, Propose, Refuse, Release
 from firwalk.cluster.random_source import RandomSource
 
 MS_PER_S = 1e3
@@ -39,14 +39,14 @@
         self.generation = generation
         self.lease_s = lease_s
         self.silent_until = now + lease_s * (1 + drift) / (1 - drift)
-        self.promised = NOBODY
-        self.accepted = NOBODY
-        self.last_accepted = NOBODY
+        self.promised = NO_BALLOT
+        self.accepted = NO_BALLOT
+        self.last_accepted = NO_BALLOT
         self.accepted_until = 0.0
 
     def lease_holder(self, now: float) -> Ballot | None:
         """Return the ballot whose lease is in force here, if there is one."""
-        return self.accepted if self.accepted != NOBODY and now < self.accepted_until else None
+        return self.accepted if self.accepted != NO_BALLOT and now < self.accepted_until else None
 
     def on_prepare(self, now: float, sender: int, ballot: Ballot) -> None:
         """Promise to accept nothing below the ballot, or refuse."""
@@ -65,7 +65,7 @@
         self.promised = ballot
         self.accepted = ballot
         self.last_accepted = ballot
-        self.accepted_until = now + message.length / MS_PER_S
+        self.accepted_until = now + message.lease_ms / MS_PER_S
         self.host.tell(sender, Accept(ballot))
 
     def _can_accept(self, now: float, message: Propose) -> bool:
@@ -76,13 +76,13 @@
             and message.generation == self.generation
             and message.ballot >= self.promised
             and message.ballot > self.last_accepted
-            and message.length <= self.lease_s * MS_PER_S
+            and message.lease_ms <= self.lease_s * MS_PER_S
         )
 
     def on_release(self, now: float, ballot: Ballot) -> None:
         """The holder returns its lease early."""
         if ballot == self.accepted:
-            self.accepted = NOBODY
+            self.accepted = NO_BALLOT
 
 
 class Proposer:
@@ -113,14 +113,14 @@
         self.lease_s = lease_s
         self.own_lease_s = lease_s * (1 - drift) / (1 + drift)
         self.ballot_number = 0
-        self.ballot: Ballot = NOBODY  # of the current or last round
+        self.ballot: Ballot = NO_BALLOT  # of the current or last round
         self.promises: dict[int, int] = {}  # generations of the acceptors that promised, by node id
         self.accepts: dict[int, None] = {}
         self.is_proposing = False
         self.proposing_since = 0.0
         self.held_until = 0.0
-        self.held_ballot: Ballot = NOBODY  # the last one that a majority accepted
-        self.term: Ballot = NOBODY  # the ballot that the current leadership began with
+        self.held_ballot: Ballot = NO_BALLOT  # the last one that a majority accepted
+        self.term: Ballot = NO_BALLOT  # the ballot that the current leadership began with
         self.failed_rounds = 0
         self.is_active = True
         self.on_won: Callable[[float], None] = lambda now: None
@@ -146,7 +146,7 @@
         """Runs periodically: renews the lease, or starts a round when nobody seems to hold it."""
         if not self.is_active:
             return
-        if self.term != NOBODY and not self.is_holder(now):
+        if self.term != NO_BALLOT and not self.is_holder(now):
             self._step_down(now)
         next_check = self._renew_or_compete(now)
         self.host.set_timer(max(next_check, now + self.lease_s / MAX_CHECKS_PER_LEASE), self._check, None)
@@ -221,7 +221,7 @@
 
     def _hold(self, now: float, until: float) -> None:
         is_new = not self.is_holder(now)
-        if is_new and self.term != NOBODY:
+        if is_new and self.term != NO_BALLOT:
             self._step_down(now)
         self.held_until = until
         self.failed_rounds = 0
@@ -236,12 +236,12 @@
     # -- the end of a lease ------------------------------------------------------------------------------
 
     def _expire(self, now: float, until: float) -> None:
-        if self.held_until <= now and self.term != NOBODY:
+        if self.held_until <= now and self.term != NO_BALLOT:
             self._step_down(now)
 
     def _step_down(self, now: float) -> None:
         term = self.term
-        self.term = NOBODY
+        self.term = NO_BALLOT
         self.host.event("lease_lost", term=term)
         self.on_lost(now)
 
--- a/firwalk/cluster/members.py
+++ b/firwalk/cluster/members.py
@@ -18,7 +18,7 @@
 from firwalk.cluster.member import Member, Probe, Requester, Suspicion
 from firwalk.cluster.messages import (
     MAX_UPDATES,
-    NOBODY,
+    NO_BALLOT,
     Ack,
     Ballot,
     MembershipUpdate,
@@ -86,7 +86,7 @@
         self.pending_updates: dict[Member, int] = {}  # how often each is still to be passed on
         self.grace_until = 0.0  # until then silence proves nothing: this node woke late
         self.is_leaving = False
-        self.leader_term: Callable[[], Ballot] = lambda: NOBODY
+        self.leader_term: Callable[[], Ballot] = lambda: NO_BALLOT
 
     def start(self, now: float) -> None:
         """Begin to probe, at a random point of the period."""
@@ -249,15 +249,15 @@
 
     def on_ping(self, now: float, sender: int, message: Ping) -> None:
         """Acknowledge a ping."""
-        self.on_updates(now, message.news, sender)
+        self.on_updates(now, message.updates, sender)
         self.host.tell(sender, Ack(message.number, self.leader_term(), self._updates_for(self.all[sender])))
 
     def on_ping_request(self, now: float, sender: int, message: PingRequest) -> None:
         """Ping a member on the sender's behalf."""
-        self.on_updates(now, message.news, sender)
-        if message.seat >= len(self.all) or self.all[message.seat] is self.me:
+        self.on_updates(now, message.updates, sender)
+        if message.node_id >= len(self.all) or self.all[message.node_id] is self.me:
             return
-        probe = self._ping(self.all[message.seat], Requester(sender, message.number))
+        probe = self._ping(self.all[message.node_id], Requester(sender, message.number))
         self._set_timer(now + self.answer, self._end_requested_probe, probe)
 
     def _end_requested_probe(self, now: float, probe: Probe) -> None:
@@ -267,7 +267,7 @@
 
     def on_ack(self, now: float, sender: int, message: Ack) -> None:
         """A ping was answered, directly or through a helper."""
-        self.on_updates(now, message.news, sender)
+        self.on_updates(now, message.updates, sender)
         probe = self.probes.get(message.number)
         if probe is None or probe.is_answered:
             return
--- a/firwalk/cluster/messages.py
+++ b/firwalk/cluster/messages.py
@@ -1,7 +1,7 @@
 """Messages between cluster members and their datagram codec.
 
-A datagram is at most `LONGEST` bytes: a header (protocol version, checksum of the cluster's name, and the
-sender's node id, generation and incarnation), then one message in MessagePack
+A datagram has at most `MAX_DATAGRAM_BYTES`: a header (protocol version, checksum of the cluster's name, and
+the sender's node id, generation and incarnation), then one message in MessagePack
 (https://github.com/msgpack/msgpack/blob/master/spec.md), an array of a type tag and the fields in order.
 A newer version only appends fields, and the decoder ignores those it does not know.
 """
@@ -16,15 +16,15 @@
 from msgspec import Meta, Struct
 
 VERSION = 1
-LONGEST = 256  # bytes of a datagram: never fragmented by IP
+MAX_DATAGRAM_BYTES = 256  # never fragmented by IP
 HEADER = struct.Struct(">BIHII")
 MAX_UPDATES = 16  # membership updates in one message
 MEMBERSHIP_UPDATE_BYTES = 16  # upper estimate of one encoded update
 MAX_PIECES = 62  # of a plan: a mask of them fits a signed 64-bit integer
 MAX_RESULT_CHARS = 180  # of a command's result
-MOST_ZONES = 8
-MOST_ROWS = 8  # tenants in one quota request
-MOST_COUNTED = 3  # request classes in one message of rollout metrics
+MAX_ZONES = 8
+MAX_QUOTA_ROWS = 8  # tenants in one quota request
+MAX_METRICS_ROWS = 3  # request classes in one message of rollout metrics
 MAX_ROLLOUT_NAME_CHARS = 40
 PIECE_BYTES = 176  # of a plan in one piece
 
@@ -38,7 +38,7 @@
 UInt32 = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 MicroRate = Annotated[int, Meta(ge=0, le=2**48)]  # millionths of work per second
 Ballot = tuple[Count, NodeId, Generation]  # compared in this order
-NOBODY: Ballot = (0, 0, 0)
+NO_BALLOT: Ballot = (0, 0, 0)
 
 
 class MembershipUpdate(NamedTuple):
@@ -64,12 +64,12 @@
 class QuotaRequestRow(NamedTuple):
     """One tenant's demand.
 
-    `answered_marks_ago` tells which earlier question's answer is in effect: 0 means that none is any more.
+    `answered_requests_ago` tells which earlier request's answer is in effect: 0 means that none is any more.
     """
 
     tenant: UInt16
     wanted: MicroRate
-    answered_marks_ago: Count
+    answered_requests_ago: Count
     granted: MicroRate
 
 
@@ -100,27 +100,27 @@
 
 
 class Ping(Struct, array_like=True, tag=1):
-    """A liveness question; `office` is the newest leader's term that the sender knows of."""
+    """A liveness question; `leader_term` is the newest leader's term that the sender knows of."""
 
     number: Count
-    office: Ballot = NOBODY
-    news: list[MembershipUpdate] = []
+    leader_term: Ballot = NO_BALLOT
+    updates: list[MembershipUpdate] = []
 
 
 class Ack(Struct, array_like=True, tag=2):
     """The answer to the `Ping` of that number."""
 
     number: Count
-    office: Ballot = NOBODY
-    news: list[MembershipUpdate] = []
+    leader_term: Ballot = NO_BALLOT
+    updates: list[MembershipUpdate] = []
 
 
 class PingRequest(Struct, array_like=True, tag=3):
-    """Asks the receiver to ping `seat` (a node id) on the sender's behalf."""
+    """Asks the receiver to ping `node_id` on the sender's behalf."""
 
     number: Count
-    seat: NodeId
-    news: list[MembershipUpdate] = []
+    node_id: NodeId
+    updates: list[MembershipUpdate] = []
 
 
 class Nack(Struct, array_like=True, tag=4):
@@ -150,10 +150,10 @@
 
 
 class Propose(Struct, array_like=True, tag=8):
-    """`length`: of the lease, in milliseconds; `generation`: the acceptor's, as its promise carried it."""
+    """`generation`: the acceptor's, as its promise carried it."""
 
     ballot: Ballot
-    length: Count
+    lease_ms: Count
     generation: Generation
 
 
@@ -172,33 +172,33 @@
 class Report(Struct, array_like=True, tag=11):
     """The plan that the sender follows, and which pieces of the next one it has received.
 
-    `mark` numbers the question, so that the answer can be dated from when it was sent.
+    `number` is the question's, so that the answer can be dated from when it was sent.
     """
 
-    mark: Count
+    number: Count
     term: Ballot
     version: Count
-    next_term: Ballot = NOBODY
+    next_term: Ballot = NO_BALLOT
     next_version: Count = 0
     pieces: PieceMask = 0
 
 
 class Answer(Struct, array_like=True, tag=12):
-    """From the leader: the plan in force at some time after the question `mark` was sent."""
+    """From the leader: the plan in force at some time after the question `number` was sent."""
 
-    mark: Count
+    number: Count
     term: Ballot
     version: Count
 
 
 class Piece(Struct, array_like=True, tag=13):
-    """One piece of an encoded plan; `check` is the checksum of all pieces together."""
+    """One piece of an encoded plan; `checksum` is the checksum of all pieces together."""
 
     term: Ballot
     version: Count
     number: Annotated[int, Meta(ge=0, lt=MAX_PIECES)]
     count: Annotated[int, Meta(ge=1, le=MAX_PIECES)]
-    check: Checksum
+    checksum: Checksum
     data: Annotated[bytes, Meta(max_length=PIECE_BYTES)]
 
 
@@ -212,13 +212,13 @@
 class HealthObservations(Struct, array_like=True, tag=15):
     """What the sender observed of each zone since its last report.
 
-    `asks` is its clients' demand, in thousandths of work per second. An `early` report comes out of turn, and
-    its observations are repeated in the next regular one.
+    `demand`: of its clients, in thousandths of work per second. An `early` report comes out of turn, and its
+    observations are repeated in the next regular one.
     """
 
     zone: UInt16
-    asks: UInt32
-    views: Annotated[list[ZoneObservation], Meta(max_length=MOST_ZONES)]
+    demand: UInt32
+    observations: Annotated[list[ZoneObservation], Meta(max_length=MAX_ZONES)]
     early: bool = False
 
 
@@ -241,54 +241,54 @@
 class QuotaRequest(Struct, array_like=True, tag=18):
     """What the sender's clients need of the tenants' quotas.
 
-    `check`: checksum of the contracts in use; `ready`: of the newest that the sender has; `first` and `last`:
-    the marks of all requests of one round.
+    `checksum`: of the contracts in use; `ready`: of the newest that the sender has; `first` and `last`:
+    the numbers of all requests of one round.
     """
 
-    mark: Count
-    check: Checksum
+    number: Count
+    checksum: Checksum
     ready: Checksum
-    rows: Annotated[list[QuotaRequestRow], Meta(max_length=MOST_ROWS)]
+    rows: Annotated[list[QuotaRequestRow], Meta(max_length=MAX_QUOTA_ROWS)]
     first: Count = 0
     last: Count = 0
 
 
 class QuotaGrant(Struct, array_like=True, tag=19):
-    """The leader's answer; `length` is milliseconds from when the request of that mark was sent."""
+    """The leader's answer; `lease_ms` counts from when the request of that number was sent."""
 
-    mark: Count
-    check: Checksum
-    length: Count
-    rows: Annotated[list[QuotaGrantRow], Meta(max_length=MOST_ROWS)]
+    number: Count
+    checksum: Checksum
+    lease_ms: Count
+    rows: Annotated[list[QuotaGrantRow], Meta(max_length=MAX_QUOTA_ROWS)]
 
 
 class RolloutMetrics(Struct, array_like=True, tag=20):
     """What the sender counted since it started, for the canary analysis.
 
-    `change`: number of the rollout that it follows; `release` and `tag`: checksums of what it runs; `memory`
-    in tenths of a megabyte; `contracts`: the version in use, 0 for none.
+    `rollout`: number of the one that it follows; `release` and `tag`: checksums of what it runs; `memory` in
+    tenths of a megabyte; `contracts`: the version in use, 0 for none.
     """
 
-    change: Count
+    rollout: Count
     release: Checksum
     tag: Checksum
     zone: UInt16
     memory: UInt16
-    rows: Annotated[list[RolloutMetricsRow], Meta(max_length=MOST_COUNTED)]
+    rows: Annotated[list[RolloutMetricsRow], Meta(max_length=MAX_METRICS_ROWS)]
     contracts: Generation = 0
 
 
 class RolloutCommand(Struct, array_like=True, tag=21):
     """A command on a rollout, from any node to the leader.
 
-    `word`: start, hold, resume, back, failed, page or dry; `check`: checksum of the rollout's file, or the
+    `word`: start, hold, resume, back, failed, page or dry; `argument`: checksum of the rollout's file, or the
     number that the word takes.
     """
 
     number: Count
     word: Annotated[str, Meta(max_length=8)]
     name: Annotated[str, Meta(max_length=MAX_ROLLOUT_NAME_CHARS)] = ""
-    check: Checksum = 0
+    argument: Checksum = 0
     text: Annotated[str, Meta(max_length=100)] = ""
 
 
@@ -340,16 +340,16 @@
     """Encode a datagram; membership updates that do not fit are dropped, the last ones first."""
     header = HEADER.pack(VERSION, cluster, node_id, generation, incarnation)
     data = header + _encoder.encode(message)
-    while len(data) > LONGEST and isinstance(message, GossipMessage) and message.news:
-        excess = (len(data) - LONGEST) // MEMBERSHIP_UPDATE_BYTES + 1
-        message = msgspec.structs.replace(message, news=message.news[:-excess])
+    while len(data) > MAX_DATAGRAM_BYTES and isinstance(message, GossipMessage) and message.updates:
+        excess = (len(data) - MAX_DATAGRAM_BYTES) // MEMBERSHIP_UPDATE_BYTES + 1
+        message = msgspec.structs.replace(message, updates=message.updates[:-excess])
         data = header + _encoder.encode(message)
     return data
 
 
 def decode(cluster: int, data: bytes) -> ReceivedMessage:
     """Decode a datagram; raises `MalformedMessage`."""
-    if len(data) > LONGEST:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise MalformedMessage("too long")
     if len(data) < HEADER.size:
         raise MalformedMessage("cut short")
@@ -362,6 +362,6 @@
         message = _decoder.decode(memoryview(data)[HEADER.size :])
     except (msgspec.DecodeError, RecursionError):
         raise MalformedMessage("garbage") from None
-    if isinstance(message, GossipMessage) and len(message.news) > MAX_UPDATES:
+    if isinstance(message, GossipMessage) and len(message.updates) > MAX_UPDATES:
         raise MalformedMessage("garbage")
     return ReceivedMessage(node_id, generation, incarnation, message)
--- a/firwalk/cluster/operator_commands.py
+++ b/firwalk/cluster/operator_commands.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, TypeAlias
 
 from firwalk.cluster.host import Host
-from firwalk.cluster.messages import NOBODY, CommandResult, OperatorCommand, RolloutCommand
+from firwalk.cluster.messages import NO_BALLOT, CommandResult, OperatorCommand, RolloutCommand
 from firwalk.cluster.plan_follower import PlanFollower
 
 MAX_ATTEMPTS = 6
@@ -47,7 +47,7 @@
         if command.number not in self.callbacks:
             return
         leader_term = self.follower.leader_term
-        if not attempts_left or leader_term == NOBODY:
+        if not attempts_left or leader_term == NO_BALLOT:
             on_result = self.callbacks.pop(command.number)
             on_result(False, "no coordinator answers; nothing may have been done")
             return
--- a/firwalk/cluster/plan.py
+++ b/firwalk/cluster/plan.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from firwalk.cluster.messages import MAX_PIECES, NOBODY, PIECE_BYTES, Ballot, Piece
+from firwalk.cluster.messages import MAX_PIECES, NO_BALLOT, PIECE_BYTES, Ballot, Piece
 
 MAX_PLAN_BYTES = MAX_PIECES * PIECE_BYTES
 
@@ -33,7 +33,7 @@
     data: bytes
 
 
-NO_PLAN = PlanStamp(NOBODY, 0)
+NO_PLAN = PlanStamp(NO_BALLOT, 0)
 
 
 class PlanTooLarge(Exception):
@@ -60,12 +60,12 @@
     def __init__(self, first: Piece) -> None:
         self.stamp = PlanStamp(first.term, first.version)
         self.count = first.count
-        self.checksum = first.check
+        self.checksum = first.checksum
         self.received: dict[int, bytes] = {}
 
     def add(self, piece: Piece) -> None:
         """Keep a piece that belongs to the plan; others are ignored."""
-        if piece.count == self.count and piece.check == self.checksum and piece.number < self.count:
+        if piece.count == self.count and piece.checksum == self.checksum and piece.number < self.count:
             self.received[piece.number] = piece.data
 
     def mask(self) -> int:
--- a/firwalk/cluster/plan_follower.py
+++ b/firwalk/cluster/plan_follower.py
@@ -16,7 +16,7 @@
 
 from firwalk.cluster.host import Host
 from firwalk.cluster.lease import MAX_AHEAD
-from firwalk.cluster.messages import NOBODY, Answer, Ballot, Fetch, Piece, Report
+from firwalk.cluster.messages import NO_BALLOT, Answer, Ballot, Fetch, Piece, Report
 from firwalk.cluster.plan import NO_PLAN, PlanAssembly, PlanSections, PlanStamp, encode_plan, split_plan
 from firwalk.cluster.random_source import RandomSource
 
@@ -53,10 +53,10 @@
         self.in_force_until = 0.0
         self.taken_at = 0.0
         self.has_expired = True
-        self.leader_term: Ballot = NOBODY
+        self.leader_term: Ballot = NO_BALLOT
         self.assembly: PlanAssembly | None = None
-        self.last_mark = random_source.uint32()
-        self.asked_at: dict[int, float] = {}  # by mark
+        self.last_number = random_source.uint32()
+        self.asked_at: dict[int, float] = {}  # by number
         self.confirmed_at: dict[PlanStamp, float] = {}  # newer plans that were in force then
         self.early_report_stamp: PlanStamp = NO_PLAN  # the plan for which a report was sent out of turn
         self.on_plan_changed: Callable[[float], None] = lambda now: None
@@ -137,27 +137,27 @@
                 self.send_report(now)
 
     def _report_in_turn(self, now: float, _: None) -> None:
-        if self.leader_term != NOBODY and self.leader_term[1] != self.node_id:
+        if self.leader_term != NO_BALLOT and self.leader_term[1] != self.node_id:
             self.send_report(now)
         jitter = REPORT_JITTER_MIN + REPORT_JITTER_RANGE * self.random_source.fraction()
         self.host.set_timer(now + self.report_interval_s * jitter, self._report_in_turn, None)
 
     def send_report(self, now: float) -> None:
         """Tell the leader what this node follows, and ask for what is in force."""
-        self.last_mark += 1
-        self.asked_at[self.last_mark] = now
-        self.asked_at.pop(self.last_mark - MAX_OPEN_REPORTS, None)
+        self.last_number += 1
+        self.asked_at[self.last_number] = now
+        self.asked_at.pop(self.last_number - MAX_OPEN_REPORTS, None)
         assembly = self.assembly
         next_stamp = assembly.stamp if assembly else NO_PLAN
         received = assembly.mask() if assembly else 0
-        self.host.tell(self.leader_term[1], Report(self.last_mark, *self.stamp, *next_stamp, received))
+        self.host.tell(self.leader_term[1], Report(self.last_number, *self.stamp, *next_stamp, received))
 
     def on_answer(self, now: float, sender: int, message: Answer) -> None:
         """The leader tells which plan is in force."""
         if message.term[1] != sender:
             return
         self.on_leader_term(now, message.term)
-        since = self.asked_at.pop(message.mark, None)
+        since = self.asked_at.pop(message.number, None)
         if since is None:
             return
         stamp = PlanStamp(message.term, message.version)
--- a/firwalk/cluster/plan_publisher.py
+++ b/firwalk/cluster/plan_publisher.py
@@ -16,7 +16,7 @@
 
 from firwalk.cluster.host import Host
 from firwalk.cluster.lease import Proposer
-from firwalk.cluster.messages import NOBODY, Answer, Ballot, Fetch, Piece, Report
+from firwalk.cluster.messages import NO_BALLOT, Answer, Ballot, Fetch, Piece, Report
 from firwalk.cluster.plan import (
     NO_PLAN,
     EncodedPlan,
@@ -75,7 +75,7 @@
 
     def is_leader(self, now: float) -> bool:
         """Whether this node is the leader at this moment."""
-        return self.proposer.is_holder(now) and self.proposer.term != NOBODY
+        return self.proposer.is_holder(now) and self.proposer.term != NO_BALLOT
 
     def stamp(self) -> PlanStamp:
         """Return the stamp of the plan published last."""
@@ -161,7 +161,7 @@
         if stamp > published:
             self._restart_above(now, sender, stamp)
             return
-        self.host.tell(sender, Answer(message.mark, *published))
+        self.host.tell(sender, Answer(message.number, *published))
         if stamp < published:
             is_assembling = (message.next_term, message.next_version) == published
             self._send_pieces(sender, message.pieces if is_assembling else 0)
--- a/firwalk/cluster/quota_allocator.py
+++ b/firwalk/cluster/quota_allocator.py
@@ -23,20 +23,20 @@
 
     generation: int
     first: int
-    marks: dict[int, None] = field(default_factory=dict)
+    numbers: dict[int, None] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class TenantRequest:
-    """One row of a request. `whole`: the leased quota by the contracts that the node follows; `used_mark`:
+    """One row of a request. `whole`: the leased quota by the contracts that the node follows; `used_number`:
     the request whose answer the node uses."""
 
     holder: LeaseHolder
-    mark: int
+    number: int
     name: str
     whole: int
     wanted: int
-    used_mark: int
+    used_number: int
     held: int
 
     def least_want(self) -> int:
@@ -75,7 +75,7 @@
         self._begin_renewal(now)
 
     def _use_contracts(self, offer: ContractSet, beside: ContractSet | None) -> None:
-        self.sides = {side.check: side for side in (offer, beside) if side is not None}
+        self.sides = {side.checksum: side for side in (offer, beside) if side is not None}
         names = dict.fromkeys(name for side in self.sides.values() for name in side.names)
         self.numbers = {name: number for number, name in enumerate(names)}
         self.wholes = dict.fromkeys(names, 0)
@@ -111,33 +111,33 @@
 
     def want_came(self, now: float, node: int, generation: int, got: QuotaRequest) -> QuotaGrant | None:
         """Answers a node's request; None: it follows other contracts, or there is nothing to grant."""
-        side = self.sides.get(got.check)
+        side = self.sides.get(got.checksum)
         if side is None:
             return None
         rows = []
         holder = LeaseHolder(node, generation)
-        for team, wanted, marks_ago, held in got.rows:
+        for team, wanted, requests_ago, held in got.rows:
             if team >= len(side.wholes):
                 continue
-            used_mark = got.mark - marks_ago
+            used_number = got.number - requests_ago
             name = side.names[team]
             whole = side.wholes[team]
-            part = self._grant(now, TenantRequest(holder, got.mark, name, whole, wanted, used_mark, held))
+            part = self._grant(now, TenantRequest(holder, got.number, name, whole, wanted, used_number, held))
             if part is not None:
                 rows.append(QuotaGrantRow(team, part))
         if now < self.renews_until:
             self._count_turn(node, generation, got)
-        return QuotaGrant(got.mark, got.check, int(self.terms.length * 1e3), rows) if rows else None
+        return QuotaGrant(got.number, got.checksum, int(self.terms.length * 1e3), rows) if rows else None
 
     def _count_turn(self, node: int, generation: int, got: QuotaRequest) -> None:
         """Ends the renewal once all nodes have told all their leases: then each lease is in a book."""
-        if node in self.complete or not got.first <= got.mark <= got.last:
+        if node in self.complete or not got.first <= got.number <= got.last:
             return
         turn = self.turns.get(node)
         if turn is None or (turn.generation, turn.first) != (generation, got.first):
             turn = self.turns[node] = RequestTurn(generation, got.first)
-        turn.marks[got.mark] = None
-        if len(turn.marks) < got.last - got.first + 1:
+        turn.numbers[got.number] = None
+        if len(turn.numbers) < got.last - got.first + 1:
             return
         self.complete[node] = None
         if all(other in self.complete for other in self.node_ids()):
@@ -148,17 +148,19 @@
         team = self.numbers[request.name]
         book = self.books.setdefault(team, QuotaBook())
         holder = book.holder(now, request.holder)
-        if request.mark <= holder.mark:
+        if request.number <= holder.last_number:
             return None  # Duplicated or overtaken: the node would use an older answer.
-        holder.mark = request.mark
+        holder.last_number = request.number
         holder.want = request.wanted
-        holder.grants = {mark: lease for mark, lease in holder.grants.items() if mark >= request.used_mark}
+        holder.grants = {
+            number: lease for number, lease in holder.grants.items() if number >= request.used_number
+        }
         is_renewal = now < self.renews_until and (
             self.renewed_names is None or request.name in self.renewed_names
         )
         until = now + self.terms.length
-        if is_renewal and request.held and request.used_mark not in holder.grants:
-            book.renew(request.holder, request.used_mark, until, request.held)
+        if is_renewal and request.held and request.used_number not in holder.grants:
+            book.renew(request.holder, request.used_number, until, request.held)
         least_want = request.least_want()
         book.count(now, request.holder, least_want)
         if not request.wanted and not request.held:
@@ -172,7 +174,7 @@
         else:
             due = self._due(book, holder, request.whole, least_want)
         part = max(min(due, available), 0)
-        book.grant(now, request.holder, request.mark, until, part, least_want)
+        book.grant(now, request.holder, request.number, until, part, least_want)
         return part
 
     def _close(self, team: int, book: QuotaBook, key: LeaseHolder) -> None:
--- a/firwalk/cluster/quota_book.py
+++ b/firwalk/cluster/quota_book.py
@@ -32,9 +32,9 @@
 class HolderLeases:
     """What one holder may have of the quota. `counted`, `counted_want`: its parts of the book's sums."""
 
-    mark: int = 0  # of its last request
+    last_number: int = 0  # of its last request
     want: int = 0
-    grants: dict[int, Lease] = field(default_factory=dict)  # by the mark of the request
+    grants: dict[int, Lease] = field(default_factory=dict)  # by the number of the request
     counted: int = 0
     counted_want: int = 0
 
@@ -60,16 +60,16 @@
         return self.holders.setdefault(key, HolderLeases())
 
     def grant(
-        self, now: float, key: LeaseHolder, mark: int, until: float, part: int, least_want: int
+        self, now: float, key: LeaseHolder, number: int, until: float, part: int, least_want: int
     ) -> None:
         """Records a lease."""
-        self.holders[key].grants[mark] = Lease(until, part)
+        self.holders[key].grants[number] = Lease(until, part)
         heappush(self.expiries, Expiry(until, key))
         self.count(now, key, least_want)
 
-    def renew(self, key: LeaseHolder, mark: int, until: float, part: int) -> None:
+    def renew(self, key: LeaseHolder, number: int, until: float, part: int) -> None:
         """Records a lease of a coordinator before; the caller counts it."""
-        self.holders[key].grants[mark] = Lease(until, part)
+        self.holders[key].grants[number] = Lease(until, part)
         heappush(self.expiries, Expiry(until, key))
 
     def count(self, now: float, key: LeaseHolder, least_want: int) -> None:
@@ -78,7 +78,7 @@
         holder = self.holders.get(key)
         if holder is None:
             return
-        holder.grants = {mark: lease for mark, lease in holder.grants.items() if lease.until > now}
+        holder.grants = {number: lease for number, lease in holder.grants.items() if lease.until > now}
         live = holder.live(now)
         want = _counted_want(holder, least_want)
         self.live += live - holder.counted
--- a/firwalk/cluster/quota_client.py
+++ b/firwalk/cluster/quota_client.py
@@ -9,7 +9,14 @@
 from typing import NamedTuple, Protocol
 
 from firwalk.cluster.host import Host
-from firwalk.cluster.messages import MOST_ROWS, NOBODY, Ballot, QuotaGrant, QuotaRequest, QuotaRequestRow
+from firwalk.cluster.messages import (
+    MAX_QUOTA_ROWS,
+    NO_BALLOT,
+    Ballot,
+    QuotaGrant,
+    QuotaRequest,
+    QuotaRequestRow,
+)
 from firwalk.cluster.quota_contracts import QuotaPolicy
 
 REQUESTS_PER_LEASE = 4
@@ -52,13 +59,13 @@
         self.leader_term = leader_term
         self.purses: Callable[[], list[Account]] = list  # all accounts
         self.turned: Callable[[float], None] = _ignore  # called after each request
-        self.mark = 0  # of the last request
-        self.check = 0  # of the contracts that this node follows; 0: none
+        self.last_number = 0  # of the last request
+        self.checksum = 0  # of the contracts that this node follows; 0: none
         self.ready = 0  # of the newest contracts that it has
-        self.pending: dict[int, float] = {}  # by mark: when the request was made
-        self.used_marks: dict[int, int] = {}  # by tenant: the request whose answer is in use
+        self.pending: dict[int, float] = {}  # by number: when the request was made
+        self.used_numbers: dict[int, int] = {}  # by tenant: the request whose answer is in use
         self.requested: dict[int, None] = {}  # tenants with demand or a lease at the last request
-        self.requested_term: Ballot = NOBODY
+        self.requested_term: Ballot = NO_BALLOT
         # A lease is in use for less time than it is granted for, by clocks that drift apart.
         self.safe_length_s = terms.length * (1 - terms.drift) / (1 + terms.drift)
 
@@ -72,20 +79,20 @@
         interval_s = min(self.terms.length / REQUESTS_PER_LEASE, MAX_REQUEST_INTERVAL_S)
         self.host.set_timer(now + interval_s, self._turn, None)
 
-    def changed(self, check: int, renumbered: dict[int, int]) -> None:
+    def changed(self, checksum: int, renumbered: dict[int, int]) -> None:
         """Other contracts are in force here. Tenants of the same name keep their leases; answers to requests
         under the contracts before are ignored. `renumbered`: new numbers by the ones before."""
-        self.check = check
+        self.checksum = checksum
         self.pending = {}
         self.requested = {}
-        self.used_marks = {
-            renumbered[team]: mark for team, mark in self.used_marks.items() if team in renumbered
+        self.used_numbers = {
+            renumbered[team]: number for team, number in self.used_numbers.items() if team in renumbered
         }
 
     def ask(self, now: float) -> None:
         """Requests leases now, for tenants with demand or a lease, or just without."""
-        self.pending = {mark: at for mark, at in self.pending.items() if at + self.safe_length_s > now}
-        demands = [self._demand(now, account) for account in self.purses()] if self.check else []
+        self.pending = {number: at for number, at in self.pending.items() if at + self.safe_length_s > now}
+        demands = [self._demand(now, account) for account in self.purses()] if self.checksum else []
         self._request(now, [one for one in demands if one.wanted or one.held or one.team in self.requested])
 
     def _demand(self, now: float, account: Account) -> Demand:
@@ -94,19 +101,19 @@
     def _request(self, now: float, demands: list[Demand]) -> None:
         """Sends the demands; a request without any tells which contracts the node has."""
         leader_term = self.leader_term()
-        if leader_term == NOBODY:
+        if leader_term == NO_BALLOT:
             return
         if leader_term != self.requested_term:
             # A new coordinator is told all leases: no answer of the one before may add to them.
             self.requested_term = leader_term
             self.pending = {}
-        first = self.mark + 1
-        last = self.mark + max(-(-len(demands) // MOST_ROWS), 1)
-        for start in range(0, len(demands) or 1, MOST_ROWS):
-            self.mark += 1
-            self.pending[self.mark] = now
-            rows = [self._row(demand) for demand in demands[start : start + MOST_ROWS]]
-            request = QuotaRequest(self.mark, self.check, self.ready, rows, first, last)
+        first = self.last_number + 1
+        last = self.last_number + max(-(-len(demands) // MAX_QUOTA_ROWS), 1)
+        for start in range(0, len(demands) or 1, MAX_QUOTA_ROWS):
+            self.last_number += 1
+            self.pending[self.last_number] = now
+            rows = [self._row(demand) for demand in demands[start : start + MAX_QUOTA_ROWS]]
+            request = QuotaRequest(self.last_number, self.checksum, self.ready, rows, first, last)
             self.host.tell(leader_term[1], request)
 
     def _row(self, demand: Demand) -> QuotaRequestRow:
@@ -116,32 +123,32 @@
         self.requested[team] = None
         if not wanted and not held:
             del self.requested[team]
-            self.used_marks[team] = self.mark
-        return QuotaRequestRow(team, wanted, self.mark - self.used_marks.get(team, 0), held)
+            self.used_numbers[team] = self.last_number
+        return QuotaRequestRow(team, wanted, self.last_number - self.used_numbers.get(team, 0), held)
 
     def grant_came(self, now: float, sender: int, got: QuotaGrant) -> None:
         """Uses the granted leases; they count from the request, and never replace a later answer."""
-        requested_at = self.pending.get(got.mark)
-        if requested_at is None or got.check != self.check:
+        requested_at = self.pending.get(got.number)
+        if requested_at is None or got.checksum != self.checksum:
             return
         if sender != self.requested_term[1] or self.leader_term() != self.requested_term:
             return
-        length_s = min(got.length / 1e3, self.terms.length)
+        length_s = min(got.lease_ms / 1e3, self.terms.length)
         until = requested_at + length_s / self.terms.length * self.safe_length_s
         accounts = {account.number: account for account in self.purses()}
         for team, part in got.rows:
             account = accounts.get(team)
-            if account is not None and self.used_marks.get(team, 0) < got.mark and until > now:
-                self.used_marks[team] = got.mark
+            if account is not None and self.used_numbers.get(team, 0) < got.number and until > now:
+                self.used_numbers[team] = got.number
                 account.leased(now, part, until)
-                self.host.event("part", team=team, check=self.check, part=part, left=until - now)
+                self.host.event("part", team=team, check=self.checksum, part=part, left=until - now)
 
     def end(self, now: float) -> None:
         """Hands all leases back, so that they are free for others at once."""
         held = [account for account in self.purses() if account.holds(now)]
         for account in held:
             account.leased(now, 0, now)
-            self.host.event("part", team=account.number, check=self.check, part=0, left=0.0)
+            self.host.event("part", team=account.number, check=self.checksum, part=0, left=0.0)
         if held:
             self._request(now, [Demand(account.number, 0, 0) for account in held])
         self.pending = {}
--- a/firwalk/cluster/quota_contracts.py
+++ b/firwalk/cluster/quota_contracts.py
@@ -29,7 +29,7 @@
     leased, in millionths of work per second; `begun`: whether they may come into force."""
 
     version: int
-    check: int
+    checksum: int
     names: tuple[str, ...]
     wholes: tuple[int, ...]
     begun: Callable[[], bool] = _always
@@ -39,7 +39,7 @@
     """Contracts that the plan names; zeros: none."""
 
     version: int
-    check: int
+    checksum: int
 
 
 NO_CONTRACTS = PlannedContracts(0, 0)
@@ -47,9 +47,9 @@
 
 def section(offer: ContractSet, beside: ContractSet | None = None) -> BudgetsSection:
     """The plan's section: the contracts in force, and those that a rollout brings beside them."""
-    encoded: BudgetsSection = {"version": offer.version, "check": offer.check}
+    encoded: BudgetsSection = {"version": offer.version, "check": offer.checksum}
     if beside is not None:
-        encoded["beside"] = [beside.version, beside.check]
+        encoded["beside"] = [beside.version, beside.checksum]
     return encoded
 
 
@@ -64,7 +64,7 @@
 def beside(told: Any) -> PlannedContracts:
     """The contracts that a rollout brings, by a plan's section."""
     try:
-        version, check = told["beside"]
-        return PlannedContracts(int(version), int(check))
+        version, checksum = told["beside"]
+        return PlannedContracts(int(version), int(checksum))
     except (KeyError, TypeError, ValueError):
         return NO_CONTRACTS
--- a/firwalk/cluster/quota_coordination.py
+++ b/firwalk/cluster/quota_coordination.py
@@ -48,12 +48,12 @@
 
     def add(self, contracts: ContractSet) -> None:
         """Add contracts that need not be the newest."""
-        self.by_checksum[contracts.check] = contracts
+        self.by_checksum[contracts.checksum] = contracts
 
     def find(self, version: int, checksum: int) -> ContractSet | None:
         """Return exactly these contracts, if this node has or finds them."""
         contracts = self.by_checksum.get(checksum) or self.find_version(version)
-        if contracts is None or contracts.check != checksum:
+        if contracts is None or contracts.checksum != checksum:
             return None
         self.add(contracts)
         return contracts
@@ -111,7 +111,7 @@
         newest = self.contracts.newest
         if newest is not None and self._supersedes(newest):
             without = [
-                node_id for node_id in node_ids_up if self.ready_checksums.get(node_id) != newest.check
+                node_id for node_id in node_ids_up if self.ready_checksums.get(node_id) != newest.checksum
             ]
             if not without:
                 return self._put_in_force(now, newest)
@@ -122,7 +122,7 @@
 
     def _supersedes(self, contracts: ContractSet) -> bool:
         version, checksum = in_force(self.publisher.sections.get("budgets"))
-        return contracts.check != checksum and contracts.version > version and contracts.begun()
+        return contracts.checksum != checksum and contracts.version > version and contracts.begun()
 
     def _record_waiting(self, contracts: ContractSet, node_ids: str) -> None:
         if node_ids != self.waiting_for:
@@ -174,7 +174,7 @@
             self.host.event(
                 "contracts",
                 version=side.version,
-                check=side.check,
+                check=side.checksum,
                 names=list(side.names),
                 wholes=list(side.wholes),
                 length=self.policy.length,
--- a/firwalk/cluster/rollout.py
+++ b/firwalk/cluster/rollout.py
@@ -59,18 +59,18 @@
 
     # -- commands of operators and agents ------------------------------------------------------------------
 
-    def start(self, now: float, name: str, check: int, up: list[int]) -> str:
+    def start(self, now: float, name: str, checksum: int, up: list[int]) -> str:
         """Starts a rollout by its file; the reason why not."""
         if self._is_active():
             return f"change {self.section['name']} is {self.section['state']}; it has to end first"
-        if self.section.get("state") == STOPPED and self._is_named(name, check):
+        if self.section.get("state") == STOPPED and self._is_named(name, checksum):
             return f"{name} was stopped: {self.section['why']}; resume it, or change the file"
-        change, checksum, faults = self.named(name)
-        if change is None or checksum != check:
+        change, own_checksum, faults = self.named(name)
+        if change is None or own_checksum != checksum:
             return faults[0] if faults else "the coordinator has another file of that name"
         reason = self._conflict(now, change, up)
         if not reason:
-            self._begin(change, name, check)
+            self._begin(change, name, checksum)
         return reason
 
     def hold(self, now: float) -> str:
@@ -91,10 +91,10 @@
             return ""
         if state != STOPPED:
             return "no change is held or stopped"
-        change, checksum, faults = self.named(self.section["name"])
-        if change is None or checksum != self.section["check"]:
+        change, own_checksum, faults = self.named(self.section["name"])
+        if change is None or own_checksum != self.section["check"]:
             return faults[0] if faults else "the file was changed: start it"
-        self._begin(change, self.section["name"], checksum)
+        self._begin(change, self.section["name"], own_checksum)
         return ""
 
     def back(self, now: float, why: str = "an operator wants it back") -> str:
@@ -112,10 +112,10 @@
             self.back(now, f"seat {node_id}: {why}"[:MAX_REASON_LENGTH])
         return ""
 
-    def dry(self, now: float, name: str, check: int, up: list[int], page: int) -> tuple[bool, str]:
+    def dry(self, now: float, name: str, checksum: int, up: list[int], page: int) -> tuple[bool, str]:
         """What a start would do, a stage a page; nothing is done."""
-        change, checksum, faults = self.named(name)
-        if change is None or checksum != check:
+        change, own_checksum, faults = self.named(name)
+        if change is None or own_checksum != checksum:
             return False, faults[0] if faults else "the coordinator has another file of that name"
         reason = self._conflict(now, change, up)
         if reason:
@@ -129,8 +129,8 @@
 
     # -- the beginning -------------------------------------------------------------------------------------
 
-    def _is_named(self, name: str, check: int) -> bool:
-        return (name, check) == (self.section["name"], self.section["check"])
+    def _is_named(self, name: str, checksum: int) -> bool:
+        return (name, checksum) == (self.section["name"], self.section["check"])
 
     def _conflict(self, now: float, change: RolloutFile, up: list[int]) -> str:
         """Why the rollout cannot start now."""
@@ -148,11 +148,11 @@
             return f"stages: {problem}"
         return ""
 
-    def _begin(self, change: RolloutFile, name: str, check: int) -> None:
+    def _begin(self, change: RolloutFile, name: str, checksum: int) -> None:
         self.section = {
             "number": self.section.get("number", 0) + 1,
             "name": name,
-            "check": check,
+            "check": checksum,
             "kind": change.kind(),
             "what": change.what(),
             "before": change.before,
@@ -208,8 +208,8 @@
 
     def _find_file(self, now: float, up: list[int]) -> None:
         """A new coordinator needs the file, and to know the nodes' zones."""
-        change, checksum, _ = self.named(self.section["name"])
-        if change is None or checksum != self.section["check"]:
+        change, own_checksum, _ = self.named(self.section["name"])
+        if change is None or own_checksum != self.section["check"]:
             if self.section["state"] == GOING:
                 self._enter(HELD, "the coordinator does not have the change's file", ITSELF)
         elif all(self._is_fresh(now, node_id) for node_id in up):
--- a/firwalk/cluster/rollout_controller.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -133,7 +133,7 @@
         self.memory = memory
         self.intervals = 0  # since the last report
         self.recorded = RunningConfiguration("", 0)
-        self.reported_term = m.NOBODY
+        self.reported_term = m.NO_BALLOT
         self.contracts_version: Callable[[], int] = _no_contracts  # of those that this node follows
         self.roll: Rollout | None = None  # at nodes that may become the coordinator
         if member.plan_publisher is not None:
@@ -188,7 +188,7 @@
             self._record_configuration()
             self.intervals = IDLE_REPORT_INTERVALS  # The coordinator's knowledge of this node is outdated.
         self.intervals += 1
-        if leader_term != m.NOBODY and self._is_report_due(now, leader_term):
+        if leader_term != m.NO_BALLOT and self._is_report_due(now, leader_term):
             self.intervals = 0
             self.reported_term = leader_term
             for message in self.figures(now):
@@ -203,7 +203,9 @@
     def figures(self, now: float) -> list[m.RolloutMetrics]:
         """The report, in as many messages as it needs."""
         rows = self.tally.rows()
-        parts = [rows[start : start + m.MOST_COUNTED] for start in range(0, len(rows), m.MOST_COUNTED)]
+        parts = [
+            rows[start : start + m.MAX_METRICS_ROWS] for start in range(0, len(rows), m.MAX_METRICS_ROWS)
+        ]
         number = (self.section(now) or {}).get("number", 0)
         memory = min(int(self.memory() / MEMORY_UNIT_BYTES), MAX_MEMORY)
         release = crc32(self.release.encode())
@@ -260,16 +262,16 @@
         ):
             return False, "the coordinator is just coming into office; ask again"
         if got.word == "page":
-            return True, roll.page(got.check)
+            return True, roll.page(got.argument)
         if got.word == "dry":
             page = int(got.text) if got.text.isdecimal() else 0
-            return roll.dry(now, got.name, got.check, up, page)
+            return roll.dry(now, got.name, got.argument, up, page)
         commands: dict[str, Callable[[], str]] = {
-            "start": lambda: roll.start(now, got.name, got.check, up),
+            "start": lambda: roll.start(now, got.name, got.argument, up),
             "hold": lambda: roll.hold(now),
             "resume": lambda: roll.resume(now),
             "back": lambda: roll.back(now),
-            "failed": lambda: roll.failed(now, node_id, got.check, got.text),
+            "failed": lambda: roll.failed(now, node_id, got.argument, got.text),
         }
         if got.word not in commands:
             return False, "no such word"
--- a/firwalk/cluster/zone_coordination.py
+++ b/firwalk/cluster/zone_coordination.py
@@ -11,7 +11,7 @@
 from firwalk.cluster.health_observations import views
 from firwalk.cluster.host import Host
 from firwalk.cluster.members import Members
-from firwalk.cluster.messages import NOBODY, HealthObservations
+from firwalk.cluster.messages import NO_BALLOT, HealthObservations
 from firwalk.cluster.plan import PlanSections
 from firwalk.cluster.plan_follower import PlanFollower
 from firwalk.cluster.plan_publisher import PlanPublisher
@@ -55,7 +55,7 @@
 
     def _report(self, now: float, _: None) -> None:
         leader_term = self.follower.leader_term
-        if self.observe is not None and leader_term != NOBODY and leader_term[1] != self.node_id:
+        if self.observe is not None and leader_term != NO_BALLOT and leader_term[1] != self.node_id:
             self.host.tell(leader_term[1], self.observe(now))
         self.host.set_timer(now + self.follower.report_interval_s, self._report, None)
 
@@ -67,7 +67,7 @@
         leader_term = self.follower.leader_term
         if now < self.reported_early_at + self.follower.report_interval_s:
             return
-        if self.observe_early is None or leader_term == NOBODY:
+        if self.observe_early is None or leader_term == NO_BALLOT:
             return
         self.reported_early_at = now
         self.host.tell(leader_term[1], self.observe_early())
--- a/firwalk/config/operations.py
+++ b/firwalk/config/operations.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, Struct, structs
 
-from firwalk.cluster.messages import MOST_ZONES
+from firwalk.cluster.messages import MAX_ZONES
 from firwalk.cluster.zones import ZonePolicy
 from firwalk.config import validation
 from firwalk.config.errors import raise_conflicts
@@ -108,8 +108,8 @@
         if self.regions:
             conflicts += [f"drained: {zone} is in no region" for zone in self.drained if zone not in zones]
         conflicts += [f"order: there is no region {name}" for name in self._unknown_regions()]
-        if self.regions and not 1 <= len(zones) <= MOST_ZONES:
-            conflicts.append(f"regions: 1 to {MOST_ZONES} zones in all are wanted, not {len(zones)}")
+        if self.regions and not 1 <= len(zones) <= MAX_ZONES:
+            conflicts.append(f"regions: 1 to {MAX_ZONES} zones in all are wanted, not {len(zones)}")
         raise_conflicts(conflicts)
 
     def _unknown_regions(self) -> list[str]:
@@ -253,8 +253,8 @@
     conflicts = [
         f"zones.regions: there is no zone {zone} in settings.azs" for zone in in_regions if zone not in names
     ]
-    if zones and len(names) > MOST_ZONES:
-        conflicts.append(f"zones: settings.azs has {len(names)} zones; the most is {MOST_ZONES}")
+    if zones and len(names) > MAX_ZONES:
+        conflicts.append(f"zones: settings.azs has {len(names)} zones; the most is {MAX_ZONES}")
     conflicts += [
         f"zones.drained: there is no zone {zone} in settings.azs" for zone in drained if zone not in names
     ]
--- a/firwalk/net/cluster_commands.py
+++ b/firwalk/net/cluster_commands.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from firwalk.cluster.messages import MAX_ROLLOUT_NAME_CHARS, NOBODY
+from firwalk.cluster.messages import MAX_ROLLOUT_NAME_CHARS, NO_BALLOT
 from firwalk.cluster.operator_commands import OnResult
 from firwalk.cluster.zones import REGION, Mode
 
@@ -193,7 +193,7 @@
         "seat": cluster.number,
         "seats": len(cluster.addresses),
         **cluster.member.members.counts(),
-        "coordinator": follower.leader_term[1] if follower.leader_term != NOBODY else "none",
+        "coordinator": follower.leader_term[1] if follower.leader_term != NO_BALLOT else "none",
         "ballot": ".".join(map(str, term)),
         "version": version,
         "age": f"{now - follower.taken_at:.2f}" if version else "none",
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -4,7 +4,7 @@
 
 from firwalk.cluster import lease, plan, plan_follower, plan_publisher
 from firwalk.cluster.cluster_member import ClusterMember
-from firwalk.cluster.messages import NOBODY, Accept, Promise
+from firwalk.cluster.messages import NO_BALLOT, Accept, Promise
 
 
 def _of(change):
@@ -38,7 +38,7 @@
     def on_propose(now, sender, message):
         if now >= voter.silent_until:
             voter.accepted = voter.last_accepted = message.ballot
-            voter.accepted_until = now + message.length / 1e3
+            voter.accepted_until = now + message.lease_ms / 1e3
             voter.host.tell(sender, Accept(message.ballot))
 
     if voter:
@@ -65,7 +65,7 @@
     def on_propose(now, sender, message):
         lease.Acceptor.on_propose(voter, now, sender, message)
         if voter.accepted == message.ballot:
-            voter.accepted_until = now + message.length / 2e3
+            voter.accepted_until = now + message.lease_ms / 2e3
 
     if voter:
         voter.on_propose = on_propose
@@ -110,7 +110,7 @@
 def holder_acts_after_its_end(seat):
     """Woken from a long sleep it goes on in the old name."""
     if seat.plan_publisher:
-        seat.plan_publisher.is_leader = lambda now: seat.proposer.term != NOBODY
+        seat.plan_publisher.is_leader = lambda now: seat.proposer.term != NO_BALLOT
 
 
 @_of
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -100,8 +100,8 @@
     came = quotas.QuotaClient.grant_came
 
     def from_now(self, now, sender, got):
-        if got.mark in self.pending:
-            self.pending[got.mark] = now
+        if got.number in self.pending:
+            self.pending[got.number] = now
         came(self, now, sender, got)
 
     patch.setattr(quotas.QuotaClient, "grant_came", from_now)
@@ -599,7 +599,7 @@
 
 def older_answers(holder, now, sender, got):
     """A broken holder: takes whatever arrives last."""
-    holder.used_marks = {}
+    holder.used_numbers = {}
     return quotas.QuotaClient.grant_came(holder, now, sender, got)
 
 
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -19,7 +19,7 @@
         m.Refuse(LARGE, LARGE),
         m.Propose(LARGE, 2**48, 2**32 - 1),
         m.Report(2**48, LARGE, 2**48, LARGE, 2**48, 2**62 - 1),
-        m.HealthObservations(65535, 2**32 - 1, [(65535,) * 4 + (2**32 - 1,) * 2] * m.MOST_ZONES),
+        m.HealthObservations(65535, 2**32 - 1, [(65535,) * 4 + (2**32 - 1,) * 2] * m.MAX_ZONES),
         m.OperatorCommand(2**48, "restore", 65535),
         m.CommandResult(2**48, True, "x" * m.MAX_RESULT_CHARS),
         m.Answer(2**48, LARGE, 2**48),
@@ -30,10 +30,10 @@
 )
 def test_the_largest_of_each_kind_fits(message):
     data = m.encode(FLEET, 65535, 2**32 - 1, 2**32 - 1, message)
-    assert len(data) <= m.LONGEST
+    assert len(data) <= m.MAX_DATAGRAM_BYTES
     seat, generation, incarnation, back = m.decode(FLEET, data)
     assert (seat, generation, incarnation) == (65535, 2**32 - 1, 2**32 - 1) and type(back) is type(message)
-    assert not isinstance(message, m.GossipMessage) or len(back.news) >= 8
+    assert not isinstance(message, m.GossipMessage) or len(back.updates) >= 8
 
 
 def test_another_fleet_version_and_length_are_told_apart():
--- a/tests/cluster/test_plan.py
+++ b/tests/cluster/test_plan.py
@@ -95,7 +95,7 @@
     follower = PlanFollower(box, 3, RandomSource(1), report_interval_s=0.5, hold_s=3.0)
     stamp = ((4, 0, 9), 2)
     follower.on_leader_term(10.0, stamp[0])
-    mark = box.sent[-1][1].mark
+    mark = box.sent[-1][1].number
     for piece in split_plan(stamp, encode_plan({"a": 1})):
         follower.on_piece(12.5, piece)
     assert follower.sections == {}  # pieces alone tell nothing of its time
@@ -121,8 +121,8 @@
     follower.on_leader_term(10.0, stamp[0])
     parts = split_plan(stamp, encode_plan({"a": "x" * 300}))
     bad = split_plan(stamp, b"y" * len(parts[0].data))[0]
-    bad.count, bad.check = parts[0].count, parts[0].check
-    follower.on_answer(10.1, 0, Answer(box.sent[-1][1].mark, *stamp))
+    bad.count, bad.checksum = parts[0].count, parts[0].checksum
+    follower.on_answer(10.1, 0, Answer(box.sent[-1][1].number, *stamp))
     for piece in [bad, *parts[1:]]:
         follower.on_piece(10.2, piece)
     assert follower.assembly is None and follower.sections == {}
--- a/tests/cluster/test_schedules.py
+++ b/tests/cluster/test_schedules.py
@@ -3,7 +3,7 @@
 import mutants
 import pytest
 
-from firwalk.cluster.messages import NOBODY
+from firwalk.cluster.messages import NO_BALLOT
 from firwalk.lab.schedules import drawn, first_caught, history, played, shrunk
 
 SOUND = 1500
@@ -47,5 +47,5 @@
     judge, world = played(schedule)
     assert not judge.breaks
     stamps = [process.seat.follower.stamp for process in world.processes]
-    assert stamps[0][0] != NOBODY and len({stamp[0] for stamp in stamps}) == 1
+    assert stamps[0][0] != NO_BALLOT and len({stamp[0] for stamp in stamps}) == 1
     assert max(stamp[1] for stamp in stamps) - min(stamp[1] for stamp in stamps) <= 1
--- a/tests/cluster/test_stages.py
+++ b/tests/cluster/test_stages.py
@@ -632,52 +632,55 @@
 
 def test_the_largest_figures_fit_a_datagram():
     row = (2**32 - 1, *[2**31] * 7, 2**48, 2**48)
-    figures = m.RolloutMetrics(2**31, 2**32 - 1, 2**32 - 1, 65535, 65535, [row] * m.MOST_COUNTED)
+    figures = m.RolloutMetrics(2**31, 2**32 - 1, 2**32 - 1, 65535, 65535, [row] * m.MAX_METRICS_ROWS)
     data = m.encode(7, 65535, 2**32 - 1, 2**31, figures)
-    assert len(data) <= m.LONGEST and m.decode(7, data)[3] == figures
+    assert len(data) <= m.MAX_DATAGRAM_BYTES and m.decode(7, data)[3] == figures
 
 
 # Bytes of each kind of message as they were when it came to be: a newer version must go on reading them
 # (`docs/stages.md`, the rule for changing formats). Never change one of these lines; add.
 RECORDED = [
-    (m.Ping(number=5, office=(3, 1, 77), news=[(2, 1, 9, 0)]), "9401059303014d919402010900"),
-    (m.Ack(number=5, office=(3, 1, 77), news=[]), "9402059303014d90"),
-    (m.PingRequest(number=5, seat=2, news=[]), "9403050290"),
+    (m.Ping(number=5, leader_term=(3, 1, 77), updates=[(2, 1, 9, 0)]), "9401059303014d919402010900"),
+    (m.Ack(number=5, leader_term=(3, 1, 77), updates=[]), "9402059303014d90"),
+    (m.PingRequest(number=5, node_id=2, updates=[]), "9403050290"),
     (m.Nack(number=5), "920405"),
     (m.Prepare(ballot=(3, 1, 77)), "92059303014d"),
     (m.Promise(ballot=(3, 1, 77), accepted=(2, 0, 6)), "93069303014d93020006"),
     (m.Refuse(ballot=(3, 1, 77), highest=(4, 2, 8)), "93079303014d93040208"),
-    (m.Propose(ballot=(3, 1, 77), length=2000, generation=77), "94089303014dcd07d04d"),
+    (m.Propose(ballot=(3, 1, 77), lease_ms=2000, generation=77), "94089303014dcd07d04d"),
     (m.Accept(ballot=(3, 1, 77)), "92099303014d"),
     (m.Release(ballot=(3, 1, 77)), "920a9303014d"),
     (
-        m.Report(mark=9, term=(3, 1, 77), version=4, next_term=(3, 1, 77), next_version=5, pieces=3),
+        m.Report(number=9, term=(3, 1, 77), version=4, next_term=(3, 1, 77), next_version=5, pieces=3),
         "970b099303014d049303014d0503",
     ),
-    (m.Answer(mark=9, term=(3, 1, 77), version=4), "940c099303014d04"),
+    (m.Answer(number=9, term=(3, 1, 77), version=4), "940c099303014d04"),
     (
-        m.Piece(term=(3, 1, 77), version=4, number=0, count=2, check=123456, data=b"abc"),
+        m.Piece(term=(3, 1, 77), version=4, number=0, count=2, checksum=123456, data=b"abc"),
         "970d9303014d040002ce0001e240c403616263",
     ),
     (m.Fetch(term=(3, 1, 77), version=4), "930e9303014d04"),
     (
-        m.HealthObservations(zone=2, asks=1000, views=[(0, 3, 1, 0, 5, 1000)]),
+        m.HealthObservations(zone=2, demand=1000, observations=[(0, 3, 1, 0, 5, 1000)]),
         "940f02cd03e891960003010005cd03e8",
     ),
     (m.OperatorCommand(number=1, word="drain", zone=2), "941001a5647261696e02"),
     (m.CommandResult(number=1, done=True, text="done"), "941101c3a4646f6e65"),
     (
-        m.QuotaRequest(mark=7, check=11, ready=12, rows=[(3, 500, 1, 400)], first=7, last=7),
+        m.QuotaRequest(number=7, checksum=11, ready=12, rows=[(3, 500, 1, 400)], first=7, last=7),
         "9712070b0c919403cd01f401cd01900707",
     ),
-    (m.QuotaGrant(mark=7, check=11, length=6000, rows=[(3, 500)]), "9513070bcd1770919203cd01f4"),
+    (m.QuotaGrant(number=7, checksum=11, lease_ms=6000, rows=[(3, 500)]), "9513070bcd1770919203cd01f4"),
     (
         m.RolloutMetrics(
-            change=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)]
+            rollout=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)]
         ),
         "971404050601cd012c919a09010203040506070809",
     ),
-    (m.RolloutCommand(number=2, word="start", name="v2", check=99, text=""), "961502a57374617274a2763263a0"),
+    (
+        m.RolloutCommand(number=2, word="start", name="v2", argument=99, text=""),
+        "961502a57374617274a2763263a0",
+    ),
 ]
 
 
@@ -685,7 +688,13 @@
 GROWN = [
     (
         m.RolloutMetrics(
-            change=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)], contracts=2
+            rollout=4,
+            release=5,
+            tag=6,
+            zone=1,
+            memory=300,
+            rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)],
+            contracts=2,
         ),
         "981404050601cd012c919a0901020304050607080902",
     ),
