--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -194,7 +194,7 @@
     def _open_term(self, now: float) -> None:
         """This node has become the leader: each part resumes from what the plan says."""
         if self.rollout_controller is not None and self.plan_publisher is not None:
-            self.rollout_controller.opened(now, self.plan_publisher.sections.get("stages"))
+            self.rollout_controller.open(now, self.plan_publisher.sections.get("stages"))
         if self.zone_coordinator is not None:
             self.zone_coordinator.open(now)
         if self.quota_coordinator is not None:
@@ -221,9 +221,11 @@
         if self.zone_coordinator is not None:
             changes |= self.zone_coordinator.evaluate(now, node_ids_up)
         if self.rollout_controller is not None:
-            changes |= self.rollout_controller.look(now, node_ids_up)
+            changes |= self.rollout_controller.evaluate(now, node_ids_up)
         if self.quota_coordinator is not None:
-            rollout = self.rollout_controller.contracts() if self.rollout_controller is not None else None
+            rollout = (
+                self.rollout_controller.staged_contracts() if self.rollout_controller is not None else None
+            )
             contract_rollout = ContractRollout(*rollout) if rollout is not None else None
             changes |= self.quota_coordinator.plan_changes(now, node_ids_up, contract_rollout)
         return changes
@@ -245,7 +247,7 @@
 
         if self.is_leader(now):
             assert self.rollout_controller is not None, "commands on rollouts need the rollout controller"
-            on_result(*self.rollout_controller.word_came(now, self.node_id, make_command(0)))
+            on_result(*self.rollout_controller.execute(now, self.node_id, make_command(0)))
         else:
             self.commands.send(now, make_command, on_result)
 
@@ -345,7 +347,7 @@
         self, now: float, sender: int, generation: int, message: m.RolloutCommand
     ) -> None:
         if self.is_leader(now) and self.rollout_controller is not None:
-            outcome = CommandOutcome(*self.rollout_controller.word_came(now, sender, message))
+            outcome = CommandOutcome(*self.rollout_controller.execute(now, sender, message))
             self._send_result(sender, message.number, outcome)
 
     def _send_result(self, node_id: int, number: int, outcome: CommandOutcome) -> None:
@@ -356,7 +358,7 @@
         self, now: float, sender: int, generation: int, message: m.RolloutMetrics
     ) -> None:
         if self.rollout_controller is not None:
-            self.rollout_controller.came(now, sender, generation, message)
+            self.rollout_controller.on_metrics(now, sender, generation, message)
 
     # -- reconfiguration and end -------------------------------------------------------------------------
 
--- a/firwalk/cluster/health_observations.py
+++ b/firwalk/cluster/health_observations.py
@@ -42,11 +42,11 @@
         self.reported_unavailable = [False] * zones  # by the last report, whatever came since
         self.on_zone_unavailable: Callable[[], None] = _ignore  # called between reports
 
-    def arrived(self, work: float) -> None:
+    def count_request(self, work: float) -> None:
         """A client's request with this much work arrived."""
         self.arrived_work += work
 
-    def ended(
+    def count_outcome(
         self, zone: int, unreachable: bool, failed: bool, now: float = 0.0, sent_at: float = math.inf
     ) -> None:
         """An attempt or a health check in the zone ended.
@@ -69,7 +69,7 @@
         if unreachable and observation.is_unavailable() and not self.reported_unavailable[zone]:
             self.on_zone_unavailable()
 
-    def started(self, zone: int, delay_s: float, now: float = 0.0) -> None:
+    def count_start(self, zone: int, delay_s: float, now: float = 0.0) -> None:
         """An executor of the zone began an attempt `delay_s` after it was sent.
 
         The median is reported: some attempts wait in a queue in every loaded zone, and the mean of these
@@ -83,12 +83,12 @@
             insort(delays, delay_s)
             self.observations[zone].start_delay_s = delays[(len(delays) - 1) // 2]
 
-    def early_report(self, capacities: list[float]) -> HealthObservations:
+    def build_early_report(self, capacities: list[float]) -> HealthObservations:
         """The observations so far, between two reports; they all count in the next report again."""
         rows = [self._row(zone, capacities) for zone in range(min(self.zones, MAX_ZONES))]
         return HealthObservations(self.zone, int(self.demand * MILLI), rows, True)
 
-    def report(self, now: float, capacities: list[float]) -> HealthObservations:
+    def build_report(self, now: float, capacities: list[float]) -> HealthObservations:
         """The next report; attempts in a zone add up over reports until there are enough for a vote.
 
         `capacities`: of each zone's executors, warm, in work per second.
@@ -143,7 +143,7 @@
         self.elapsed_s *= fade
 
 
-def views(message: HealthObservations) -> tuple[float, dict[int, ZoneObservation]]:
+def decode_observations(message: HealthObservations) -> tuple[float, dict[int, ZoneObservation]]:
     """Decodes a report: the demand of the sender's clients, and what it observed by zone."""
     observations = {
         zone: ZoneObservation(attempts, unreachable, errors, start_ms / MILLI, capacity / MILLI)
--- a/firwalk/cluster/plan_enforcement.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -163,7 +163,7 @@
     def _report(self, now: float) -> HealthObservations:
         observer = self.dispatcher.health_observer
         assert observer is not None
-        report = observer.report(now, self.dispatcher.zone_capacities(self.zones))
+        report = observer.build_report(now, self.dispatcher.zone_capacities(self.zones))
         for zone, observation in enumerate(observer.last_reported):
             if observation.attempts:
                 self.is_reachable[zone] = not observation.is_unavailable()
@@ -173,7 +173,7 @@
     def _early_report(self) -> HealthObservations:
         observer = self.dispatcher.health_observer
         assert observer is not None
-        return observer.early_report(self.dispatcher.zone_capacities(self.zones))
+        return observer.build_early_report(self.dispatcher.zone_capacities(self.zones))
 
     def _exclude_zones(self) -> None:
         """Excludes zones for the whole cluster, so that not each node loses requests to find out.
--- a/firwalk/cluster/rollout.py
+++ b/firwalk/cluster/rollout.py
@@ -46,10 +46,10 @@
         terms: RolloutPolicy,
         voters: list[int],
         cluster_size: int,
-        named: FileLookup,
+        find_file: FileLookup,
         event: Callable[..., None] = ignore_event,
     ) -> None:
-        super().__init__(terms, voters, cluster_size, named, event)
+        super().__init__(terms, voters, cluster_size, find_file, event)
         self.change: RolloutFile | None = None
         self.past = Pasts()
         self.comparison = RolloutComparison(HarmThresholds(), 1)
@@ -65,7 +65,7 @@
             return f"change {self.section['name']} is {self.section['state']}; it has to end first"
         if self.section.get("state") == STOPPED and self._is_named(name, checksum):
             return f"{name} was stopped: {self.section['why']}; resume it, or change the file"
-        change, own_checksum, faults = self.named(name)
+        change, own_checksum, faults = self.find_file(name)
         if change is None or own_checksum != checksum:
             return faults[0] if faults else "the coordinator has another file of that name"
         reason = self._conflict(now, change, up)
@@ -91,13 +91,13 @@
             return ""
         if state != STOPPED:
             return "no change is held or stopped"
-        change, own_checksum, faults = self.named(self.section["name"])
+        change, own_checksum, faults = self.find_file(self.section["name"])
         if change is None or own_checksum != self.section["check"]:
             return faults[0] if faults else "the file was changed: start it"
         self._begin(change, self.section["name"], own_checksum)
         return ""
 
-    def back(self, now: float, why: str = "an operator wants it back") -> str:
+    def roll_back(self, now: float, why: str = "an operator wants it back") -> str:
         """Rolls all nodes back to the old version; the rollout stays stopped. The reason why not."""
         if self.section.get("state") not in (GOING, HELD, DONE):
             return "no change is going, held or done"
@@ -106,15 +106,15 @@
         self._enter(BACK, why)
         return ""
 
-    def failed(self, now: float, node_id: int, number: int, why: str) -> str:
+    def on_start_failed(self, now: float, node_id: int, number: int, why: str) -> str:
         """An agent could not start the new version, and put the old one back by itself."""
         if number == self.section.get("number") and self.section["state"] in (GOING, HELD):
-            self.back(now, f"seat {node_id}: {why}"[:MAX_REASON_LENGTH])
+            self.roll_back(now, f"seat {node_id}: {why}"[:MAX_REASON_LENGTH])
         return ""
 
-    def dry(self, now: float, name: str, checksum: int, up: list[int], page: int) -> tuple[bool, str]:
+    def dry_run(self, now: float, name: str, checksum: int, up: list[int], page: int) -> tuple[bool, str]:
         """What a start would do, a stage a page; nothing is done."""
-        change, own_checksum, faults = self.named(name)
+        change, own_checksum, faults = self.find_file(name)
         if change is None or own_checksum != checksum:
             return False, faults[0] if faults else "the coordinator has another file of that name"
         reason = self._conflict(now, change, up)
@@ -182,7 +182,7 @@
                     self.past.add(node.zone, node_id, row)
         self._restart_comparison()
 
-    def resumed(self, now: float, section: Any) -> None:
+    def restore(self, now: float, section: Any) -> None:
         """A new coordinator goes on from the plan. What was compared is compared anew; reports that came
         since its term began stay, since nodes report seldom while nothing is changed."""
         self.change = None
@@ -195,10 +195,10 @@
 
     # -- an evaluation round -------------------------------------------------------------------------------
 
-    def look(self, now: float, up: list[int], unfit: str) -> RolloutSection:
+    def evaluate(self, now: float, up: list[int], unfit: str) -> RolloutSection:
         """Once a report interval: what the plan is to say. `unfit`: why nothing must be changed now."""
         if self._is_active() and self.change is None:
-            self._find_file(now, up)
+            self._recover_file(now, up)
         state = self.section.get("state")
         if state in (GOING, HELD) and self.change is not None:
             self._go_forward(now, up, unfit)
@@ -206,9 +206,9 @@
             self._go_back(now, up)
         return self.section
 
-    def _find_file(self, now: float, up: list[int]) -> None:
+    def _recover_file(self, now: float, up: list[int]) -> None:
         """A new coordinator needs the file, and to know the nodes' zones."""
-        change, own_checksum, _ = self.named(self.section["name"])
+        change, own_checksum, _ = self.find_file(self.section["name"])
         if change is None or own_checksum != self.section["check"]:
             if self.section["state"] == GOING:
                 self._enter(HELD, "the coordinator does not have the change's file", ITSELF)
@@ -223,7 +223,7 @@
             self._compare(now, up)
             harm = self._find_harm(now, new)
             if harm:
-                self.back(now, harm)
+                self.roll_back(now, harm)
                 return
         self._hold_for(obstacle)
         if self.section["state"] == HELD and self.section["by"] != LITTLE:
--- a/firwalk/cluster/rollout_controller.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -32,16 +32,16 @@
     def __init__(self) -> None:
         self.rows_by_class: dict[str, Row] = {}
 
-    def of(self, request_class: str) -> Row:
+    def row_of(self, request_class: str) -> Row:
         """The counters of a request class, by its name."""
         row = self.rows_by_class.get(request_class)
         if row is None:
             row = self.rows_by_class[request_class] = Row(crc32(request_class.encode()))
         return row
 
-    def finished(self, request_class: str, attempts: int, took: float, late: bool) -> None:
+    def count_completed(self, request_class: str, attempts: int, took: float, late: bool) -> None:
         """A request was completed after `took` seconds."""
-        row = self.of(request_class)
+        row = self.row_of(request_class)
         row.requests += 1
         row.attempts += attempts
         row.late += late
@@ -50,23 +50,23 @@
         row.log_times += logarithm
         row.log_time_squares += logarithm * logarithm
 
-    def bounced(self, request_class: str, attempts: int) -> None:
+    def count_rejected(self, request_class: str, attempts: int) -> None:
         """A request was rejected."""
-        row = self.of(request_class)
+        row = self.row_of(request_class)
         row.requests += 1
         row.rejected += 1
         row.attempts += attempts
 
-    def abandoned(self, request_class: str, attempts: int) -> None:
+    def count_failed(self, request_class: str, attempts: int) -> None:
         """A request failed with an unknown outcome."""
-        row = self.of(request_class)
+        row = self.row_of(request_class)
         row.requests += 1
         row.failed += 1
         row.attempts += attempts
 
-    def erred(self, request_class: str) -> None:
+    def count_error(self, request_class: str) -> None:
         """An attempt ended with an error."""
-        self.of(request_class).errors += 1
+        self.row_of(request_class).errors += 1
 
     def rows(self) -> list[MetricsRow]:
         """All counters, as they are reported."""
@@ -110,23 +110,23 @@
 class RolloutController:
     """The part of one incarnation of a cluster member.
 
-    `release` and `tag`: what this process runs, and its settings' tag; `memory()` in bytes; `named(name)`
-    finds a rollout file, its checksum and its faults.
+    `release` and `tag`: what this process runs, and its settings' tag; `memory()` in bytes;
+    `find_file(name)` finds a rollout file, its checksum and its faults.
     """
 
     def __init__(
         self,
         member: Any,
-        tally: RolloutCounters,
+        counters: RolloutCounters,
         release: str,
         tag: Callable[[], str],
         zone: int,
         memory: Callable[[], float],
         terms: RolloutPolicy,
-        named: FileLookup,
+        find_file: FileLookup,
     ) -> None:
         self.member = member
-        self.tally = tally
+        self.counters = counters
         self.release = release
         self.tag = tag
         self.zone = zone
@@ -135,9 +135,11 @@
         self.recorded = RunningConfiguration("", 0)
         self.reported_term = m.NO_BALLOT
         self.contracts_version: Callable[[], int] = _no_contracts  # of those that this node follows
-        self.roll: Rollout | None = None  # at nodes that may become the coordinator
+        self.rollout: Rollout | None = None  # at nodes that may become the coordinator
         if member.plan_publisher is not None:
-            self.roll = Rollout(terms, member.proposer.voters, member.cluster_size, named, member.host.event)
+            self.rollout = Rollout(
+                terms, member.proposer.voters, member.cluster_size, find_file, member.host.event
+            )
         member.rollout_controller = self
 
     def start(self, now: float) -> None:
@@ -191,7 +193,7 @@
         if leader_term != m.NO_BALLOT and self._is_report_due(now, leader_term):
             self.intervals = 0
             self.reported_term = leader_term
-            for message in self.figures(now):
+            for message in self.build_reports(now):
                 self.member.host.tell(leader_term[1], message)
         self.member.host.set_timer(now + interval_s, self._report, None)
 
@@ -200,9 +202,9 @@
         is_active = (self.section(now) or {}).get("state") in (GOING, HELD, BACK)
         return is_active or self.intervals >= IDLE_REPORT_INTERVALS or leader_term != self.reported_term
 
-    def figures(self, now: float) -> list[m.RolloutMetrics]:
+    def build_reports(self, now: float) -> list[m.RolloutMetrics]:
         """The report, in as many messages as it needs."""
-        rows = self.tally.rows()
+        rows = self.counters.rows()
         parts = [
             rows[start : start + m.MAX_METRICS_ROWS] for start in range(0, len(rows), m.MAX_METRICS_ROWS)
         ]
@@ -218,28 +220,28 @@
 
     # -- the coordinator's ---------------------------------------------------------------------------------
 
-    def came(self, now: float, node_id: int, generation: int, got: m.RolloutMetrics) -> None:
+    def on_metrics(self, now: float, node_id: int, generation: int, got: m.RolloutMetrics) -> None:
         """A node's report."""
-        if self.roll is not None and self.member.plan_publisher.is_leader(now):
-            self.roll.figures_came(now, node_id, generation, got)
+        if self.rollout is not None and self.member.plan_publisher.is_leader(now):
+            self.rollout.on_metrics(now, node_id, generation, got)
 
-    def opened(self, now: float, section: Any) -> None:
+    def open(self, now: float, section: Any) -> None:
         """This node is the coordinator, and goes on from the plan."""
-        if self.roll is not None:
-            self.roll.resumed(now, section)
+        if self.rollout is not None:
+            self.rollout.restore(now, section)
 
-    def contracts(self) -> StagedContracts | None:
+    def staged_contracts(self) -> StagedContracts | None:
         """The contracts that a rollout brings; None: it brings none."""
-        section = self.roll.section if self.roll is not None else {}
+        section = self.rollout.section if self.rollout is not None else {}
         if section.get("kind") != CONTRACTS:
             return None
         ended = section["state"] if section["state"] in (DONE, STOPPED) else ""
         return StagedContracts(int(section["before"]), int(section["what"]), ended)
 
-    def look(self, now: float, up: list[int]) -> dict[str, RolloutSection]:
+    def evaluate(self, now: float, up: list[int]) -> dict[str, RolloutSection]:
         """An evaluation round: the plan's section."""
-        assert self.roll is not None
-        section = self.roll.look(now, up, self._unfit_zone())
+        assert self.rollout is not None
+        section = self.rollout.evaluate(now, up, self._unfit_zone())
         return {"stages": section} if section else {}
 
     def _unfit_zone(self) -> str:
@@ -251,31 +253,31 @@
                 return f"zone {zone.number} is not open"
         return ""
 
-    def word_came(self, now: float, node_id: int, got: m.RolloutCommand) -> tuple[bool, str]:
+    def execute(self, now: float, node_id: int, got: m.RolloutCommand) -> tuple[bool, str]:
         """An operator's command, or an agent's, at the coordinator: whether it is done, and the answer."""
-        roll = self.roll
+        rollout = self.rollout
         up = self.member.members.up()
         if (
-            roll is None
+            rollout is None
             or not self.member.plan_publisher.is_leader(now)
             or not self.member.plan_publisher.version
         ):
             return False, "the coordinator is just coming into office; ask again"
         if got.word == "page":
-            return True, roll.page(got.argument)
+            return True, rollout.page(got.argument)
         if got.word == "dry":
             page = int(got.text) if got.text.isdecimal() else 0
-            return roll.dry(now, got.name, got.argument, up, page)
+            return rollout.dry_run(now, got.name, got.argument, up, page)
         commands: dict[str, Callable[[], str]] = {
-            "start": lambda: roll.start(now, got.name, got.argument, up),
-            "hold": lambda: roll.hold(now),
-            "resume": lambda: roll.resume(now),
-            "back": lambda: roll.back(now),
-            "failed": lambda: roll.failed(now, node_id, got.argument, got.text),
+            "start": lambda: rollout.start(now, got.name, got.argument, up),
+            "hold": lambda: rollout.hold(now),
+            "resume": lambda: rollout.resume(now),
+            "back": lambda: rollout.roll_back(now),
+            "failed": lambda: rollout.on_start_failed(now, node_id, got.argument, got.text),
         }
         if got.word not in commands:
             return False, "no such word"
         reason = commands[got.word]()
         if not reason:
-            self.member.plan_publisher.change_sections(now, self.look(now, up))
+            self.member.plan_publisher.change_sections(now, self.evaluate(now, up))
         return not reason, reason
--- a/firwalk/cluster/rollout_state.py
+++ b/firwalk/cluster/rollout_state.py
@@ -25,27 +25,27 @@
 
 class RolloutState:
     """`section`: what the plan says of the rollout, {} before the first one; it is replaced and never
-    changed, since the plan keeps it. `named`: finds a rollout file."""
+    changed, since the plan keeps it. `find_file`: finds a rollout file."""
 
     def __init__(
         self,
         terms: RolloutPolicy,
         voters: list[int],
         cluster_size: int,
-        named: FileLookup,
+        find_file: FileLookup,
         event: Callable[..., None] = ignore_event,
     ) -> None:
         self.terms = terms
         self.voters = voters
         self.cluster_size = cluster_size
-        self.named = named
+        self.find_file = find_file
         self.event = event
         self.section: RolloutSection = {}
         self.nodes = ReportingNodes()
         self.stages: list[list[int]] = []
         self.ordered_at: dict[int, float] = {}  # by node, when the plan named it, or named it no more
 
-    def figures_came(self, now: float, node_id: int, generation: int, got: RolloutMetrics) -> None:
+    def on_metrics(self, now: float, node_id: int, generation: int, got: RolloutMetrics) -> None:
         """A node's report."""
         self.nodes.receive(now, node_id, generation, got)
 
--- a/firwalk/cluster/zone_coordination.py
+++ b/firwalk/cluster/zone_coordination.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from firwalk.cluster.health_observations import views
+from firwalk.cluster.health_observations import decode_observations
 from firwalk.cluster.host import Host
 from firwalk.cluster.members import Members
 from firwalk.cluster.messages import NO_BALLOT, HealthObservations
@@ -127,7 +127,7 @@
         if self.zones is None or not self.publisher.is_leader(now):
             return
         self.zone_of[node_id] = message.zone
-        self.zones.told_by(now, node_id, message.zone, *views(message), message.early)
+        self.zones.told_by(now, node_id, message.zone, *decode_observations(message), message.early)
         if not self.is_early_evaluation_due and self.zones.alarmed(node_id):
             self.is_early_evaluation_due = True
             self.host.set_timer(now + EARLY_EVALUATION_DELAY_S, self._evaluate_early, None)
--- a/firwalk/dispatcher/dispatcher.py
+++ b/firwalk/dispatcher/dispatcher.py
@@ -135,7 +135,7 @@
         request = pending.request
         pending.record = self.monitor.taken(request_id, request, pending.deadline + RESPONSE_MARGIN_S)
         if self.health_observer is not None and not is_retry:  # a retry is not new demand
-            self.health_observer.arrived(request.work)
+            self.health_observer.count_request(request.work)
         if request.is_open:
             self._track(pending)
 
@@ -229,7 +229,7 @@
             now = self.clock()
             if self.health_observer is not None:
                 zone = zone_view.zone_number(self.policy, attempt.executor)
-                self.health_observer.started(zone, now - attempt.sent_at, now)
+                self.health_observer.count_start(zone, now - attempt.sent_at, now)
             self.policy.attempt_started(now, attempt)
             self._settle(now)
 
@@ -262,7 +262,7 @@
             if self.rollout_counters is not None:
                 is_late = now > request.objective_at
                 took = now - pending.arrived_at
-                self.rollout_counters.finished(pending.labels[0], len(request.attempts), took, is_late)
+                self.rollout_counters.count_completed(pending.labels[0], len(request.attempts), took, is_late)
         elif ends_request:  # every executor would find it invalid, and each would be blamed in turn
             pending.add(RejectInvalidRequest())
         self._settle(now)
@@ -280,7 +280,7 @@
         if self.health_observer is not None:
             is_unreached = how not in (Outcome.COMPLETED, Outcome.AT_CAPACITY)
             zone = zone_view.zone_number(self.policy, executor)
-            self.health_observer.ended(zone, is_unreached, False, now, now - took)
+            self.health_observer.count_outcome(zone, is_unreached, False, now, now - took)
         self.policy.health_check_ended(now, executor, how, took, parse_load_report(load))
         self._settle(now)
 
--- a/firwalk/dispatcher/policy_host.py
+++ b/firwalk/dispatcher/policy_host.py
@@ -119,7 +119,7 @@
         if self.health_observer is not None:
             self._observe_health(self.health_observer, now, attempt, outcome)
         if self.rollout_counters is not None and outcome is Outcome.ERROR:
-            self.rollout_counters.erred(pending.labels[0])
+            self.rollout_counters.count_error(pending.labels[0])
         if outcome is Outcome.COMPLETED and pending.charge is not None and not pending.measured_work:
             took = now - (attempt.started_at or attempt.sent_at)
             pending.measured_work = took * attempt.executor.speed * request.slots
@@ -145,7 +145,7 @@
             return
         is_unreached = outcome in UNREACHED_OUTCOMES and not started_at
         zone = zone_number(self.policy, executor)
-        observer.ended(zone, is_unreached, outcome is Outcome.ERROR, now, attempt.sent_at)
+        observer.count_outcome(zone, is_unreached, outcome is Outcome.ERROR, now, attempt.sent_at)
 
     def _settle_charge(self, request: Request) -> None:
         """Charges what was measured, else the estimate, or nothing if the request cannot have run."""
@@ -199,7 +199,7 @@
         retry_after_s = min(max(wait, pending.retry_after), self.policy.max_retry_after)
         pending.add(RejectRequest(retry_after_s))
         if self.rollout_counters is not None:
-            self.rollout_counters.bounced(pending.labels[0], len(request.attempts))
+            self.rollout_counters.count_rejected(pending.labels[0], len(request.attempts))
         self.open_requests.pop(pending, None)
         self._settle_charge(request)
 
@@ -209,7 +209,7 @@
         pending.failure_reason = self._failure_reason(request)
         pending.add(FailRequest())
         if self.rollout_counters is not None:
-            self.rollout_counters.abandoned(pending.labels[0], len(request.attempts))
+            self.rollout_counters.count_failed(pending.labels[0], len(request.attempts))
         self.open_requests.pop(pending, None)
         self._settle_charge(request)
 
--- a/firwalk/lab/purses.py
+++ b/firwalk/lab/purses.py
@@ -156,11 +156,11 @@
             return DONE, seats
         return (BACK, max(int((0.75 - part) / 0.15 * seats), 0)) if part < 0.8 else (STOPPED, 0)
 
-    def contracts(self) -> tuple[int, int, str] | None:
+    def staged_contracts(self) -> tuple[int, int, str] | None:
         state, _ = self._state()
         return (1, 2, state if state in (DONE, STOPPED) else "") if state else None
 
-    def look(self, now: float, up: list[int]) -> dict[str, Any]:
+    def evaluate(self, now: float, up: list[int]) -> dict[str, Any]:
         state, named = self._state()
         return (
             {"stages": {"kind": CONTRACTS, "state": state, "new": encode_ranges(list(range(named)))}}
@@ -168,7 +168,7 @@
             else {}
         )
 
-    def opened(self, now: float, section: Any) -> None:
+    def open(self, now: float, section: Any) -> None:
         pass
 
 
--- a/firwalk/lab/rolls.py
+++ b/firwalk/lab/rolls.py
@@ -109,12 +109,12 @@
             RolloutPolicy(0.25, 3.0, 0.5, ("a", "b", "c")),
             lambda name: self._named(seat, name),
         )
-        if part.roll is not None and self.way != WAYS[0]:
-            part.roll._find_harm = lambda now, new: ""  # nobody looks
-            part.roll.comparison.stage = Passed(part.roll.comparison.stage.worse, 1)
-            part.roll._restart_comparison = lambda: _passing(part.roll)
+        if part.rollout is not None and self.way != WAYS[0]:
+            part.rollout._find_harm = lambda now, new: ""  # nobody looks
+            part.rollout.comparison.stage = Passed(part.rollout.comparison.stage.worse, 1)
+            part.rollout._restart_comparison = lambda: _passing(part.rollout)
             if self.way == WAYS[2]:
-                part.roll._batch = lambda left, up, part: list(left)
+                part.rollout._batch = lambda left, up, part: list(left)
         world = getattr(self, "world", None)
         self.on[seat] = release, world.now if world is not None else 0.0
         begin = made.start
@@ -148,7 +148,7 @@
         world.later(world.now + LOOK, self._tick)
 
     def _tasks(self, seat: int) -> None:
-        chance, tally = self.world.chance, self.made[seat].tally
+        chance, tally = self.world.chance, self.made[seat].counters
         version = self.version(seat, self.on[seat][0])
         count = sum(chance.random() < self.rate * LOOK / 8 for _ in range(8))
         if self.world.now >= BEGUN:
@@ -157,10 +157,10 @@
         for _ in range(count):
             offering = "read" if chance.random() < 0.6 else "send"
             if chance.random() < version.abandoned and version.only in ("", offering):
-                tally.abandoned(offering, 1)
+                tally.count_failed(offering, 1)
             else:
                 took = TOOK * version.times * chance.lognormvariate(0.0, SPREAD)
-                tally.finished(offering, 1, took, took > DUE)
+                tally.count_completed(offering, 1, took, took > DUE)
 
     def _agent(self, seat: int, process: Process) -> None:
         """As `firwalk.agent.supervisor` does it, in short: a version that does not come up is told and
--- a/tests/cluster/test_stages.py
+++ b/tests/cluster/test_stages.py
@@ -289,7 +289,7 @@
 def test_what_the_plan_tells_of_stages_stays_bounded():
     roll = Rollout(RolloutPolicy(), [0], 3, lambda name: (CHANGE, CHECK, []))
     for seat in range(3):
-        roll.figures_came(1.0, seat, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
+        roll.on_metrics(1.0, seat, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
     assert roll.start(1.0, "c", CHECK, [0, 1, 2]) == ""
     for _ in range(30):
         roll.comparison.stage = compared((400, 40, 4.0), (400, 2, 4.0))
@@ -321,7 +321,7 @@
     for part in fleet.made.values():
         part.contracts_version = lambda: 7
     fleet.world.run(14.0 + 2.5 * RolloutPolicy().report)
-    told = fleet.made[coordinator].roll.nodes.metrics
+    told = fleet.made[coordinator].rollout.nodes.metrics
     assert {seat: one.version.contracts for seat, one in told.items()} == dict.fromkeys(range(12), 7)
 
 
@@ -349,7 +349,7 @@
 
 def test_a_fleet_of_one_is_told_that_it_would_forget_the_change():
     roll = Rollout(RolloutPolicy(), [0], 1, lambda name: (CHANGE, CHECK, []))
-    roll.figures_came(1.0, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
+    roll.on_metrics(1.0, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
     assert roll.start(1.0, "c", CHECK, [0]).startswith("only one node is up") and roll.section == {}
 
 
@@ -546,9 +546,9 @@
     roll = Rollout(RolloutPolicy(), [0], 2, lambda name: (CHANGE, CHECK, []))
     for at, tasks in ((0.0, 100), (100.0, 150), (310.0, 400), (700.0, 1000), (710.0, 1010)):
         row = (1, tasks, 0, 0, 0, 0, tasks, 0, 0, 0)
-        roll.figures_came(at, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [row]))
+        roll.on_metrics(at, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [row]))
     assert [one.requests for one in roll.nodes.metrics[0].past()] == [610]
-    roll.figures_came(720.0, 0, 6, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [(1, 5, *[0] * 8)]))
+    roll.on_metrics(720.0, 0, 6, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [(1, 5, *[0] * 8)]))
     assert [one.requests for one in roll.nodes.metrics[0].past()] == [0]
 
 
@@ -724,6 +724,6 @@
     assert fleet.made[5].wanted(process.clock()) == "nothing"
     roll = Rollout(RolloutPolicy(), [0], 3, lambda name: (None, 0, []))
     for section in (None, [], {"state": "going"}, "x"):
-        roll.resumed(0.0, section)
-        assert roll.look(1.0, [0, 1, 2], "") == {}
+        roll.restore(0.0, section)
+        assert roll.evaluate(1.0, [0, 1, 2], "") == {}
     assert stages_module.DONE == "done"
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -66,7 +66,7 @@
     def met(self, zone, missed, tried=10):
         """What this node met there since it told last."""
         for _ in range(tried):
-            self.dispatcher.health_observer.ended(zone, missed, False)
+            self.dispatcher.health_observer.count_outcome(zone, missed, False)
         self.seat.evidence(self.now)
 
     def shunned(self):
--- a/tests/cluster/test_zones.py
+++ b/tests/cluster/test_zones.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from firwalk.cluster import zone_health
-from firwalk.cluster.health_observations import HealthObserver, views
+from firwalk.cluster.health_observations import HealthObserver, decode_observations
 from firwalk.cluster.zone_observation import ZoneObservation
 from firwalk.cluster.zone_plan import decode_routing
 from firwalk.cluster.zone_shares import ShareCalculator, ZonePolicy
@@ -151,16 +151,16 @@
     """Tries in a zone add up over reports: what was told of them is not what they come to by now."""
     observer, alarms = HealthObserver(0, 2, 0.0), []
     observer.on_zone_unavailable = lambda: alarms.append(
-        observer.early_report([8.0, 4.0]).observations[1][1:3]
+        observer.build_early_report([8.0, 4.0]).observations[1][1:3]
     )
-    observer.ended(1, False, False)
-    observer.report(0.5, [8.0, 4.0])
-    observer.ended(1, True, False)
+    observer.count_outcome(1, False, False)
+    observer.build_report(0.5, [8.0, 4.0])
+    observer.count_outcome(1, True, False)
     assert not alarms  # one of two is no more than half
-    observer.ended(1, True, False)
+    observer.count_outcome(1, True, False)
     assert alarms == [(3, 2)]
-    assert observer.report(1.0, [8.0, 4.0]).observations[1][1:3] == (3, 2)
-    observer.ended(1, True, False)
+    assert observer.build_report(1.0, [8.0, 4.0]).observations[1][1:3] == (3, 2)
+    observer.count_outcome(1, True, False)
     assert len(alarms) == 1
 
 
@@ -215,37 +215,42 @@
     observer, asks = HealthObserver(0, 1, 0.0, report_interval_s=0.25), []
     arrivals = [0.25] * 12 + [0.0] * 4 + [1.25] + [0.25] * 8
     for number, work in enumerate(arrivals):
-        observer.arrived(work)
-        asks.append(observer.report(0.25 * (number + 1), [8.0]).demand / 1e3)
+        observer.count_request(work)
+        asks.append(observer.build_report(0.25 * (number + 1), [8.0]).demand / 1e3)
     assert asks[11] == pytest.approx(1.0) and max(asks) < 1.4 and asks[-1] == pytest.approx(1.0, abs=0.1)
 
 
 def test_two_reports_in_a_row_tell_the_same_demand():
     observer = HealthObserver(0, 1, 0.0, report_interval_s=0.25)
     for number in range(8):
-        observer.arrived(0.25)
-        observer.report(0.25 * (number + 1), [8.0])
-    observer.arrived(0.2)
-    assert observer.report(2.001, [8.0]).demand == pytest.approx(1150, abs=50)
-    assert observer.report(2.001, [8.0]).demand == pytest.approx(1150, abs=50)
+        observer.count_request(0.25)
+        observer.build_report(0.25 * (number + 1), [8.0])
+    observer.count_request(0.2)
+    assert observer.build_report(2.001, [8.0]).demand == pytest.approx(1150, abs=50)
+    assert observer.build_report(2.001, [8.0]).demand == pytest.approx(1150, abs=50)
 
 
 def test_a_miss_speaks_against_a_zone_only_where_nobody_else_there_answered_since():
     observer = HealthObserver(0, 2, 0.0)
-    observer.ended(1, True, False, 0.4, 0.2)
-    assert observer.early_report([8.0, 4.0]).observations[1][:4] == (1, 1, 1, 0)  # nobody was heard at all
-    observer.started(1, 0.01, 0.5)
-    assert observer.early_report([8.0, 4.0]).observations[1][:4] == (
+    observer.count_outcome(1, True, False, 0.4, 0.2)
+    assert observer.build_early_report([8.0, 4.0]).observations[1][:4] == (
+        1,
+        1,
+        1,
+        0,
+    )  # nobody was heard at all
+    observer.count_start(1, 0.01, 0.5)
+    assert observer.build_early_report([8.0, 4.0]).observations[1][:4] == (
         1,
         1,
         0,
         1,
     )  # another one answers after it
-    observer.ended(1, True, False, 0.6, 0.45)  # sent before that answer
-    observer.ended(1, False, True, 0.7, 0.6)  # an error is an answer
-    observer.ended(1, True, False, 0.8, 0.65)
-    observer.ended(1, True, False, 1.0, 0.75)  # silence since it was sent
-    assert observer.report(1.0, [8.0, 4.0]).observations[1][:4] == (1, 5, 1, 4)
+    observer.count_outcome(1, True, False, 0.6, 0.45)  # sent before that answer
+    observer.count_outcome(1, False, True, 0.7, 0.6)  # an error is an answer
+    observer.count_outcome(1, True, False, 0.8, 0.65)
+    observer.count_outcome(1, True, False, 1.0, 0.75)  # silence since it was sent
+    assert observer.build_report(1.0, [8.0, 4.0]).observations[1][:4] == (1, 5, 1, 4)
 
 
 def test_what_leaned_a_zone_counts_no_more_after_its_move():
@@ -513,15 +518,15 @@
     observer = HealthObserver(0, 2, 0.0)
     told = []
     for look in range(8):
-        observer.ended(1, True, False)
-        observer.arrived(0.5)
-        told.append(observer.report(0.5 * (look + 1), [8.0, 4.0]).observations[1][1:3])
+        observer.count_outcome(1, True, False)
+        observer.count_request(0.5)
+        told.append(observer.build_report(0.5 * (look + 1), [8.0, 4.0]).observations[1][1:3])
     assert told == [(1, 1), (2, 2), (3, 3)] * 2 + [(1, 1), (2, 2)]
     for _ in range(8):
-        observer.report(10.0, [8.0, 4.0])
-    observer.ended(1, True, False)
-    assert observer.report(11.0, [8.0, 4.0]).observations[1][1] == 1  # the two before are forgotten
-    asks, seen = views(observer.report(12.0, [8.0, 4.0]))
+        observer.build_report(10.0, [8.0, 4.0])
+    observer.count_outcome(1, True, False)
+    assert observer.build_report(11.0, [8.0, 4.0]).observations[1][1] == 1  # the two before are forgotten
+    asks, seen = decode_observations(observer.build_report(12.0, [8.0, 4.0]))
     assert seen[0].capacity == 8.0 and asks > 0.0
 
 
--- a/tests/golden/test_golden_nodes.py
+++ b/tests/golden/test_golden_nodes.py
@@ -280,7 +280,7 @@
     roll = rollout.Rollout(rollout.RolloutPolicy(), [0], 3, lambda name: (change, 17, []))
     for seat in range(3):
         figures = messages.RolloutMetrics(0, V1, 0, seat % 2, 900, [])
-        roll.figures_came(10.0, seat, 1, figures)
+        roll.on_metrics(10.0, seat, 1, figures)
     assert roll.start(10.0, "to-v2", 17, [0, 1, 2]) == ""
     text = (
         b'{"stages":{"before":"v1","by":"","check":17,"kind":"release","name":"to-v2","new":"",'
@@ -289,5 +289,5 @@
     )
     assert plan.encode_plan({"stages": roll.section}) == text
     heir = rollout.Rollout(rollout.RolloutPolicy(), [0], 3, lambda name: (change, 17, []))
-    heir.resumed(20.0, msgspec.json.decode(text)["stages"])
+    heir.restore(20.0, msgspec.json.decode(text)["stages"])
     assert heir.section == roll.section
