--- a/firwalk/cluster/rollout.py
+++ b/firwalk/cluster/rollout.py
@@ -7,15 +7,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Any
 
 from firwalk.cluster import rollout_report
-from firwalk.cluster.canary_analysis import HarmThresholds, Pasts, Verdict
+from firwalk.cluster.canary_analysis import Pasts, Verdict
 from firwalk.cluster.node_id_ranges import encode_ranges
 from firwalk.cluster.rollout_comparison import ComparedNode, LeakDetector, RolloutComparison
 from firwalk.cluster.rollout_nodes import NodeMetrics
-from firwalk.cluster.rollout_policy import FileLookup, Limits, RolloutFile, RolloutPolicy
+from firwalk.cluster.rollout_policy import Limits, RolloutFile, RolloutPolicy
 from firwalk.cluster.rollout_section import (
     BACK,
     CONTRACTS,
@@ -30,7 +29,7 @@
     is_valid,
 )
 from firwalk.cluster.rollout_stages import UnknownStageTarget
-from firwalk.cluster.rollout_state import RolloutState, ignore_event
+from firwalk.cluster.rollout_state import RolloutState
 
 __all__ = ["BACK", "CONTRACTS", "DONE", "GOING", "HELD", "STOPPED", "Rollout", "RolloutPolicy"]
 
@@ -41,22 +40,6 @@
 class Rollout(RolloutState):
     """The state machine."""
 
-    def __init__(
-        self,
-        terms: RolloutPolicy,
-        voters: list[int],
-        cluster_size: int,
-        find_file: FileLookup,
-        event: Callable[..., None] = ignore_event,
-    ) -> None:
-        super().__init__(terms, voters, cluster_size, find_file, event)
-        self.change: RolloutFile | None = None
-        self.past = Pasts()
-        self.comparison = RolloutComparison(HarmThresholds(), 1)
-        self.leaks = LeakDetector()
-        self.stage_complete_at: float | None = None  # all nodes of the stage were on the new version
-        self.passed_stage = -1  # which an operator let pass
-
     # -- commands of operators and agents ------------------------------------------------------------------
 
     def start(self, now: float, name: str, checksum: int, up: list[int]) -> str:
--- a/firwalk/cluster/rollout_state.py
+++ b/firwalk/cluster/rollout_state.py
@@ -4,8 +4,10 @@
 
 from collections.abc import Callable
 
+from firwalk.cluster.canary_analysis import HarmThresholds, Pasts
 from firwalk.cluster.messages import RolloutMetrics
 from firwalk.cluster.node_id_ranges import decode_ranges, encode_ranges
+from firwalk.cluster.rollout_comparison import LeakDetector, RolloutComparison
 from firwalk.cluster.rollout_nodes import ReportingNodes
 from firwalk.cluster.rollout_policy import FileLookup, RolloutFile, RolloutPolicy
 from firwalk.cluster.rollout_section import BACK, GOING, HELD, RolloutSection, decode_zones
@@ -44,6 +46,12 @@
         self.nodes = ReportingNodes()
         self.stages: list[list[int]] = []
         self.ordered_at: dict[int, float] = {}  # by node, when the plan named it, or named it no more
+        self.change: RolloutFile | None = None
+        self.past = Pasts()
+        self.comparison = RolloutComparison(HarmThresholds(), 1)
+        self.leaks = LeakDetector()
+        self.stage_complete_at: float | None = None  # all nodes of the stage were on the new version
+        self.passed_stage = -1  # which an operator let pass
 
     def on_metrics(self, now: float, node_id: int, generation: int, got: RolloutMetrics) -> None:
         """A node's report."""
