--- a/firwalk/cluster/cluster_member.py
+++ b/firwalk/cluster/cluster_member.py
@@ -71,7 +71,7 @@
         report: float = 0.5,
         hold: float = 3.0,
         zones: ZonePolicy | None = None,
-        budgets_by: QuotaPolicy | None = None,
+        quota_policy: QuotaPolicy | None = None,
     ) -> None:
         self.host = host
         self.node_id = node_id
@@ -90,8 +90,8 @@
         self.contracts = ContractStore()
         self.zone_reporter = ZoneReporter(host, node_id, self.follower)
         self.has_zones = zones is not None
-        if budgets_by:
-            self.quota_client = QuotaClient(host, budgets_by, lambda: self.follower.leader_term)
+        if quota_policy:
+            self.quota_client = QuotaClient(host, quota_policy, lambda: self.follower.leader_term)
         if node_id in voters:
             acceptor = Acceptor(host, generation, now, lease_s=length, drift=drift)
             self._add_voter_parts(
@@ -99,7 +99,7 @@
                     host, node_id, generation, voters, acceptor, random_source, lease_s=length, drift=drift
                 )
             )
-            self._add_leader_parts(zones, budgets_by)
+            self._add_leader_parts(zones, quota_policy)
         self._handlers = self._build_handlers()
 
     def _add_voter_parts(self, proposer: Proposer) -> None:
@@ -145,37 +145,37 @@
         return self.zone_coordinator.zones if self.zone_coordinator is not None else None
 
     @property
-    def evidence(self) -> Callable[[float], m.HealthObservations] | None:
+    def observe_health(self) -> Callable[[float], m.HealthObservations] | None:
         """Returns the observations of a regular report."""
         return self.zone_reporter.observe
 
-    @evidence.setter
-    def evidence(self, observe: Callable[[float], m.HealthObservations]) -> None:
+    @observe_health.setter
+    def observe_health(self, observe: Callable[[float], m.HealthObservations]) -> None:
         self.zone_reporter.observe = observe
 
     @property
-    def early(self) -> Callable[[], m.HealthObservations] | None:
+    def observe_health_early(self) -> Callable[[], m.HealthObservations] | None:
         """Returns the observations of a report out of turn."""
         return self.zone_reporter.observe_early
 
-    @early.setter
-    def early(self, observe_early: Callable[[], m.HealthObservations]) -> None:
+    @observe_health_early.setter
+    def observe_health_early(self, observe_early: Callable[[], m.HealthObservations]) -> None:
         self.zone_reporter.observe_early = observe_early
 
     @property
-    def find_offer(self) -> Callable[[int], ContractSet | None]:
+    def find_contracts(self) -> Callable[[int], ContractSet | None]:
         """Looks for a version of the contracts among the rollouts' files."""
         return self.contracts.find_version
 
-    @find_offer.setter
-    def find_offer(self, find_version: Callable[[int], ContractSet | None]) -> None:
+    @find_contracts.setter
+    def find_contracts(self, find_version: Callable[[int], ContractSet | None]) -> None:
         self.contracts.find_version = find_version
 
-    def tell_early(self) -> None:
+    def report_health_early(self) -> None:
         """Report a zone that turned unhealthy out of turn."""
         self.zone_reporter.report_early()
 
-    def has_contracts(self, contracts: ContractSet) -> None:
+    def add_contracts(self, contracts: ContractSet) -> None:
         """This node has these contracts, and follows them when the plan names them."""
         self.contracts.add_newest(contracts)
         if self.quota_client is not None:
@@ -232,14 +232,16 @@
 
     # -- operators' commands -----------------------------------------------------------------------------
 
-    def wish(self, now: float, word: str, zone: int, on_result: OnResult) -> None:
+    def send_zone_command(self, now: float, word: str, zone: int, on_result: OnResult) -> None:
         """Have a command on a zone carried out by the leader."""
         if self.is_leader(now):
             on_result(*self._execute_zone_command(now, word, zone))
         else:
             self.commands.send(now, lambda number: m.OperatorCommand(number, word, zone), on_result)
 
-    def word(self, now: float, word: str, name: str, argument: int, text: str, on_result: OnResult) -> None:
+    def send_rollout_command(
+        self, now: float, word: str, name: str, argument: int, text: str, on_result: OnResult
+    ) -> None:
         """Have a command on a rollout carried out by the leader."""
 
         def make_command(number: int) -> m.RolloutCommand:
@@ -258,7 +260,7 @@
 
     # -- messages ----------------------------------------------------------------------------------------
 
-    def received(
+    def on_message(
         self, now: float, sender: int, generation: int, incarnation: int, message: m.Message
     ) -> None:
         """Handle a message from a node of the cluster."""
@@ -324,7 +326,7 @@
 
     def _on_quota_grant(self, now: float, sender: int, generation: int, message: m.QuotaGrant) -> None:
         if self.quota_client is not None:
-            self.quota_client.grant_came(now, sender, message)
+            self.quota_client.on_grant(now, sender, message)
 
     def _on_quota_request(self, now: float, sender: int, generation: int, message: m.QuotaRequest) -> None:
         if self.quota_coordinator is not None:
@@ -362,7 +364,7 @@
 
     # -- reconfiguration and end -------------------------------------------------------------------------
 
-    def retuned(
+    def reconfigure(
         self, *, period: float, answer: float, report: float, hold: float, zones: ZonePolicy | None = None
     ) -> None:
         """Take over other durations and another policy for the same zones; the lease's own duration stays
--- a/firwalk/cluster/plan_enforcement.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -38,7 +38,7 @@
 class QuotaEnforcer(Protocol):
     """The quota part (`firwalk.cluster.quota_accounting.QuotaAccounting`)."""
 
-    def follow(self, now: float) -> None:
+    def follow_plan(self, now: float) -> None:
         """Applies the plan in force."""
 
     def end(self) -> None:
@@ -99,16 +99,16 @@
         self.mix = PriorityMix()
         self.is_reachable = [True] * zones  # by this node's own observations
         dispatcher.cluster_admission = self.admission_weight
-        member.follower.on_plan_changed = self.follow
+        member.follower.on_plan_changed = self.follow_plan
         if zones:
             self._observe_health(now)
 
     def _observe_health(self, now: float) -> None:
         observer = HealthObserver(self.zone, self.zones, now, self.member.follower.report_interval_s)
-        observer.on_zone_unavailable = self.member.tell_early
+        observer.on_zone_unavailable = self.member.report_health_early
         self.dispatcher.health_observer = observer
-        self.member.evidence = self._report
-        self.member.early = self._early_report
+        self.member.observe_health = self._report
+        self.member.observe_health_early = self._early_report
 
     def stop(self) -> None:
         """Zones: as without a plan. Quotas: none is left, guaranteed parts neither, since a node that shuts
@@ -121,10 +121,10 @@
         else:
             self.quotas.end()
 
-    def follow(self, now: float) -> None:
+    def follow_plan(self, now: float) -> None:
         """Applies the plan; without one in force all traffic stays local and nothing is rejected."""
         if self.quotas is not None:
-            self.quotas.follow(now)
+            self.quotas.follow_plan(now)
         if not self.zones:
             return
         section = (self.member.follower.sections_in_force(now) or {}).get("zones")
--- a/firwalk/cluster/quota_accounting.py
+++ b/firwalk/cluster/quota_accounting.py
@@ -76,18 +76,18 @@
         self.known: dict[int, Contracts] = {}  # by checksum
         self.checksum = 0  # of the contracts that this node follows; 0: none
         self.logged_at = clock()
-        member.find_offer = self._find_contract_set
-        self.client.purses = lambda: list(self.ledger.accounts.values())
-        self.client.turned = self._record_accounts
+        member.find_contracts = self._find_contract_set
+        self.client.list_accounts = lambda: list(self.ledger.accounts.values())
+        self.client.on_requested = self._record_accounts
 
-    def has(self, contracts: Contracts) -> None:
+    def add_contracts(self, contracts: Contracts) -> None:
         """The operators' file was read and is valid."""
         self._remember(contracts)
         if not self.checksum and contracts.begun(self.unix()):
             # Without a plan yet, the guaranteed parts of the own file apply. Otherwise each restart would
             # serve a tenant's flood.
             self.ledger.change(self.clock(), contracts)
-        self.member.has_contracts(self._contract_set(contracts))
+        self.member.add_contracts(self._contract_set(contracts))
 
     def version(self) -> int:
         """Of the contracts that this node follows; 0: none."""
@@ -99,7 +99,7 @@
         """The member has left: its quotas are no longer this node's."""
         self.ledger.end(self.clock())
 
-    def follow(self, now: float) -> None:
+    def follow_plan(self, now: float) -> None:
         """Changes to the contracts that the plan names, all at once. Without a plan in force those of the
         last one stay, and leases expire by themselves."""
         sections = self.member.follower.sections_in_force(now)
@@ -113,7 +113,7 @@
         self.ledger.change(now, contracts)
         numbers = self._team_numbers()
         renumbered = {old: numbers[name] for name, old in numbers_before.items() if name in numbers}
-        self.client.changed(checksum if contracts else 0, renumbered)
+        self.client.follow_contracts(checksum if contracts else 0, renumbered)
         self.member.host.event(
             "follows_contracts",
             version=contracts.version if contracts else 0,
@@ -148,7 +148,7 @@
         client.retry_after = account.wait(now, work)
         return 0.0
 
-    def shown(self, now: float) -> list[str]:
+    def describe_accounts(self, now: float) -> list[str]:
         """A line of each tenant's account, for operators."""
         return [_account_line(now, name, account) for name, account in sorted(self.ledger.accounts.items())]
 
--- a/firwalk/cluster/quota_allocator.py
+++ b/firwalk/cluster/quota_allocator.py
@@ -90,7 +90,7 @@
         self.turns = {}
         self.complete = {}
 
-    def changed(self, now: float, offer: ContractSet, beside: ContractSet | None = None) -> None:
+    def change_contracts(self, now: float, offer: ContractSet, beside: ContractSet | None = None) -> None:
         """Other contracts are in force. A tenant's leases count on under its number in the new ones, also
         beyond a quota that got smaller; those of removed tenants expire. A tenant that was removed and comes
         again may have leases that no book knows: it gets no new ones until those are over."""
@@ -109,7 +109,7 @@
             self.renewed_names = waiting | added
         self._begin_renewal(now)
 
-    def want_came(self, now: float, node: int, generation: int, got: QuotaRequest) -> QuotaGrant | None:
+    def on_request(self, now: float, node: int, generation: int, got: QuotaRequest) -> QuotaGrant | None:
         """Answers a node's request; None: it follows other contracts, or there is nothing to grant."""
         side = self.sides.get(got.checksum)
         if side is None:
--- a/firwalk/cluster/quota_client.py
+++ b/firwalk/cluster/quota_client.py
@@ -57,8 +57,8 @@
         self.host = host
         self.terms = terms
         self.leader_term = leader_term
-        self.purses: Callable[[], list[Account]] = list  # all accounts
-        self.turned: Callable[[float], None] = _ignore  # called after each request
+        self.list_accounts: Callable[[], list[Account]] = list  # all accounts
+        self.on_requested: Callable[[float], None] = _ignore  # called after each request
         self.last_number = 0  # of the last request
         self.checksum = 0  # of the contracts that this node follows; 0: none
         self.ready = 0  # of the newest contracts that it has
@@ -74,12 +74,12 @@
         self.host.set_timer(now, self._turn, None)
 
     def _turn(self, now: float, _: None) -> None:
-        self.ask(now)
-        self.turned(now)
+        self.request_leases(now)
+        self.on_requested(now)
         interval_s = min(self.terms.length / REQUESTS_PER_LEASE, MAX_REQUEST_INTERVAL_S)
         self.host.set_timer(now + interval_s, self._turn, None)
 
-    def changed(self, checksum: int, renumbered: dict[int, int]) -> None:
+    def follow_contracts(self, checksum: int, renumbered: dict[int, int]) -> None:
         """Other contracts are in force here. Tenants of the same name keep their leases; answers to requests
         under the contracts before are ignored. `renumbered`: new numbers by the ones before."""
         self.checksum = checksum
@@ -89,10 +89,10 @@
             renumbered[team]: number for team, number in self.used_numbers.items() if team in renumbered
         }
 
-    def ask(self, now: float) -> None:
+    def request_leases(self, now: float) -> None:
         """Requests leases now, for tenants with demand or a lease, or just without."""
         self.pending = {number: at for number, at in self.pending.items() if at + self.safe_length_s > now}
-        demands = [self._demand(now, account) for account in self.purses()] if self.checksum else []
+        demands = [self._demand(now, account) for account in self.list_accounts()] if self.checksum else []
         self._request(now, [one for one in demands if one.wanted or one.held or one.team in self.requested])
 
     def _demand(self, now: float, account: Account) -> Demand:
@@ -126,7 +126,7 @@
             self.used_numbers[team] = self.last_number
         return QuotaRequestRow(team, wanted, self.last_number - self.used_numbers.get(team, 0), held)
 
-    def grant_came(self, now: float, sender: int, got: QuotaGrant) -> None:
+    def on_grant(self, now: float, sender: int, got: QuotaGrant) -> None:
         """Uses the granted leases; they count from the request, and never replace a later answer."""
         requested_at = self.pending.get(got.number)
         if requested_at is None or got.checksum != self.checksum:
@@ -135,7 +135,7 @@
             return
         length_s = min(got.lease_ms / 1e3, self.terms.length)
         until = requested_at + length_s / self.terms.length * self.safe_length_s
-        accounts = {account.number: account for account in self.purses()}
+        accounts = {account.number: account for account in self.list_accounts()}
         for team, part in got.rows:
             account = accounts.get(team)
             if account is not None and self.used_numbers.get(team, 0) < got.number and until > now:
@@ -145,7 +145,7 @@
 
     def end(self, now: float) -> None:
         """Hands all leases back, so that they are free for others at once."""
-        held = [account for account in self.purses() if account.holds(now)]
+        held = [account for account in self.list_accounts() if account.holds(now)]
         for account in held:
             account.leased(now, 0, now)
             self.host.event("part", team=account.number, check=self.checksum, part=0, left=0.0)
--- a/firwalk/cluster/quota_coordination.py
+++ b/firwalk/cluster/quota_coordination.py
@@ -96,7 +96,7 @@
             return
         self.ready_checksums[node_id] = message.ready
         if self.allocator is not None and self.publisher.version:
-            grant = self.allocator.want_came(now, node_id, generation, message)
+            grant = self.allocator.on_request(now, node_id, generation, message)
             if grant is not None:
                 self.host.tell(node_id, grant)
 
@@ -169,7 +169,7 @@
         if self.allocator is None:
             self.allocator = QuotaAllocator(now, self.policy, contracts, self._possible_holders, other)
         else:
-            self.allocator.changed(now, contracts, other)
+            self.allocator.change_contracts(now, contracts, other)
         for side in self.allocator.sides.values():
             self.host.event(
                 "contracts",
--- a/firwalk/lab/purses.py
+++ b/firwalk/lab/purses.py
@@ -65,7 +65,7 @@
     def _begin(
         self, host: Process, number: int, seats: int, generation: int, now: float, **named: Any
     ) -> ClusterMember:
-        seat = self.make(host, number, seats, generation, now, budgets_by=self.terms, **named)
+        seat = self.make(host, number, seats, generation, now, quota_policy=self.terms, **named)
         made = self.spending[number] = QuotaAccounting(
             seat,
             host.clock,
@@ -76,9 +76,9 @@
         )
         if self.staged:
             seat.rollout_controller = Staging(self)
-        seat.follower.on_plan_changed = made.follow
+        seat.follower.on_plan_changed = made.follow_plan
         self.prepare(made)
-        made.has(self.contracts[getattr(self, "newest", 0)])
+        made.add_contracts(self.contracts[getattr(self, "newest", 0)])
         return seat
 
     def happened(self, now: float, process: Process, what: str, about: dict) -> None:
@@ -110,7 +110,7 @@
 
     def _file(self, seat: int, number: int) -> None:
         if self.world.processes[seat].alive and number == self.newest:
-            self.spending[seat].has(self.contracts[number])
+            self.spending[seat].add_contracts(self.contracts[number])
 
     def _task(self) -> None:
         """One somewhere: most come at one node, and that is another one every two seconds."""
--- a/firwalk/lab/rolls.py
+++ b/firwalk/lab/rolls.py
@@ -190,7 +190,7 @@
 
     def _say(self, seat: int, word: str, number: int = 0, text: str = "") -> list[tuple[bool, str]]:
         process, told = self.world.processes[seat], []
-        process.seat.word(
+        process.seat.send_rollout_command(
             process.clock(),
             word,
             "c" if word in ("start", "dry") else "",
--- a/firwalk/lab/virtual.py
+++ b/firwalk/lab/virtual.py
@@ -254,7 +254,7 @@
             return
         if data is not None:
             sender, generation, incarnation, message = m.decode(7, data)
-        process.seat.received(process.clock(), sender, generation, incarnation, message)
+        process.seat.on_message(process.clock(), sender, generation, incarnation, message)
 
     # -- what is seen ------------------------------------------------------------------------------------
 
--- a/firwalk/net/cluster.py
+++ b/firwalk/net/cluster.py
@@ -62,7 +62,7 @@
             report=operations.plan.report,
             hold=operations.plan.hold,
             zones=operations.zones.terms(self.zones) if operations.zones else None,
-            budgets_by=build_quota_policy(operations),
+            quota_policy=build_quota_policy(operations),
         )
 
     def _build_parts(self, member: ClusterMember, now: float) -> None:
@@ -112,7 +112,7 @@
         self.operations = OperationsConfig(**merged)
         if self.member is not None:
             current = self.operations
-            self.member.retuned(
+            self.member.reconfigure(
                 period=current.members.period,
                 answer=current.members.answer,
                 report=current.plan.report,
@@ -123,7 +123,7 @@
             if self.operations.budgets is not None:
                 load_contracts(self.operations.budgets.contracts, self.quota_accounting)
             if self.member is not None:  # a file that a rollout wants may have come meanwhile
-                self.quota_accounting.follow(time.monotonic())
+                self.quota_accounting.follow_plan(time.monotonic())
         return fixed
 
     def _parts_needing_restart(self, operations: OperationsConfig) -> list[str]:
@@ -143,7 +143,7 @@
 
     # -- datagrams -----------------------------------------------------------------------------------------
 
-    def datagram_came(self, data: bytes, number: int) -> None:
+    def on_datagram(self, data: bytes, number: int) -> None:
         """Handle a datagram from the configured address of node `number`."""
         if self.member is None:
             return
@@ -152,24 +152,24 @@
             if sender != number:
                 raise messages.MalformedMessage("a seat from another's address")
         except messages.MalformedMessage as problem:
-            self.drop(str(problem))
+            self.count_dropped(str(problem))
             return
         self.received += 1
         try:
-            self.member.received(time.monotonic(), sender, generation, incarnation, message)
+            self.member.on_message(time.monotonic(), sender, generation, incarnation, message)
         except Exception as problem:
             log_exception("taking a datagram of the cluster", problem)
 
-    def drop(self, reason: str) -> None:
+    def count_dropped(self, reason: str) -> None:
         """Count a datagram that is ignored."""
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     # -- operators -----------------------------------------------------------------------------------------
 
-    def calls(self) -> dict[str, Command]:
+    def commands(self) -> dict[str, Command]:
         """Return the operators' commands that are a fixed text."""
         return ClusterCommands(self).exact()
 
-    def calls_with(self) -> dict[str, CommandWithArgument]:
+    def commands_with_argument(self) -> dict[str, CommandWithArgument]:
         """Return the operators' commands that take an argument, by the text before it."""
         return ClusterCommands(self).with_argument()
--- a/firwalk/net/cluster_commands.py
+++ b/firwalk/net/cluster_commands.py
@@ -87,7 +87,7 @@
         accounting = self.cluster.quota_accounting
         if accounting is None or accounting.ledger.contracts is None:
             return CommandReply("", "no contracts are in force at this node")
-        tenants = accounting.shown(time.monotonic())
+        tenants = accounting.describe_accounts(time.monotonic())
         return CommandReply("; ".join([f"contracts {accounting.ledger.contracts.version}", *tenants]))
 
     async def _show_zones(self) -> CommandReply:
@@ -159,14 +159,16 @@
             return CommandReply("", "another process speaks for this node")
         short_name = name[:MAX_ROLLOUT_NAME_CHARS]
         return await self._await_leader(
-            lambda now, on_result: member.word(now, word, short_name, check, text, on_result)
+            lambda now, on_result: member.send_rollout_command(now, word, short_name, check, text, on_result)
         )
 
     async def _send_zone_command(self, word: str, zone: int) -> CommandReply:
         member = self.cluster.member
         if member is None:
             return CommandReply("", "another process speaks for this node")
-        return await self._await_leader(lambda now, on_result: member.wish(now, word, zone, on_result))
+        return await self._await_leader(
+            lambda now, on_result: member.send_zone_command(now, word, zone, on_result)
+        )
 
     async def _await_leader(self, send: Callable[[float, OnResult], None]) -> CommandReply:
         reply: asyncio.Future[CommandReply] = self.cluster.loop.create_future()
--- a/firwalk/net/cluster_host.py
+++ b/firwalk/net/cluster_host.py
@@ -42,7 +42,7 @@
 
     def _deliver_locally(self, generation: int, incarnation: int, message: Message) -> None:
         if self._is_current() and self.cluster.member is not None:
-            self.cluster.member.received(
+            self.cluster.member.on_message(
                 time.monotonic(), self.cluster.number, generation, incarnation, message
             )
 
--- a/firwalk/net/cluster_parts.py
+++ b/firwalk/net/cluster_parts.py
@@ -54,7 +54,7 @@
     for fault in faults:
         log_external(f"contracts stay as they were: {fault}")
     if found is not None:
-        accounting.has(found)
+        accounting.add_contracts(found)
 
 
 def _find_no_contracts(version: int) -> None:
--- a/firwalk/net/peers.py
+++ b/firwalk/net/peers.py
@@ -19,7 +19,7 @@
 class DatagramReceiver(Protocol):
     """What takes the datagrams that are no failure gossip."""
 
-    def datagram_came(self, data: bytes, number: int) -> None:
+    def on_datagram(self, data: bytes, number: int) -> None:
         """Handle a datagram from the node of that number."""
 
 
@@ -60,7 +60,7 @@
             self.dropped += 1
             return
         if self.cluster is not None and len(data) != GOSSIP_BYTES:
-            self.cluster.datagram_came(data, number)
+            self.cluster.on_datagram(data, number)
         else:
             self.dispatcher.report_peer(number, data)
 
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -114,8 +114,8 @@
         )
         self.cluster.strangers = lambda: self.peers.dropped
         self.cluster.tag = lambda: str(self.config.get("tag", ""))
-        self.management.more |= self.cluster.calls()
-        self.management.more_with |= self.cluster.calls_with()
+        self.management.more |= self.cluster.commands()
+        self.management.more_with |= self.cluster.commands_with_argument()
 
     # -- time --------------------------------------------------------------------------------------------
 
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -97,14 +97,14 @@
 
 
 def time_counts_from_the_answer(patch):
-    came = quotas.QuotaClient.grant_came
+    came = quotas.QuotaClient.on_grant
 
     def from_now(self, now, sender, got):
         if got.number in self.pending:
             self.pending[got.number] = now
         came(self, now, sender, got)
 
-    patch.setattr(quotas.QuotaClient, "grant_came", from_now)
+    patch.setattr(quotas.QuotaClient, "on_grant", from_now)
 
 
 MUTANTS = [
@@ -145,14 +145,14 @@
 
 
 def a_change_forgets_what_is_out(patch):
-    changed = QuotaAllocator.changed
+    changed = QuotaAllocator.change_contracts
 
     def forgets(self, now, *about):
         self.books = {}
         changed(self, now, *about)
         self.renews_until = 0.0
 
-    patch.setattr(QuotaAllocator, "changed", forgets)
+    patch.setattr(QuotaAllocator, "change_contracts", forgets)
 
 
 @pytest.mark.parametrize("mutant", [both_wholes_are_let_out, a_change_forgets_what_is_out])
@@ -169,7 +169,7 @@
 
 def dealt(dealer, now, node, check, team, mark=1, has=0.0, want=50.0):
     row = (team, int(want * MILLION), 0, int(has * MILLION))
-    return dealer.want_came(now, node, 1, QuotaRequest(mark, check, 0, [row])).rows[0][1] / MILLION
+    return dealer.on_request(now, node, 1, QuotaRequest(mark, check, 0, [row])).rows[0][1] / MILLION
 
 
 def test_each_node_has_its_part_of_the_whole_of_its_own_contracts():
@@ -187,7 +187,7 @@
     assert parts == pytest.approx([10 / 3, 10 / 3, 1 / 3], rel=1e-3)
     assert dealt(dealer, at, 2, 2, 1, 4) == pytest.approx(3.0, rel=1e-3)
     assert dealt(dealer, at, 0, 1, 0, 4) == pytest.approx(1.0, rel=1e-3)
-    assert dealer.want_came(at, 0, 1, QuotaRequest(9, 3, 0, [(0, 5, 0, 0)])) is None
+    assert dealer.on_request(at, 0, 1, QuotaRequest(9, 3, 0, [(0, 5, 0, 0)])) is None
 
 
 def test_a_team_that_went_and_came_again_waits_though_contracts_changed_twice_within_a_lease():
@@ -196,8 +196,8 @@
     at = LENGTH * 2
     dealer = QuotaAllocator(0.0, QuotaPolicy(LENGTH), offer(1, north=1.0, south=1.0), lambda: [0, 1])
     assert dealt(dealer, at, 0, 1, 1) == 1.0
-    dealer.changed(at + 0.1, offer(2, west=1.0, north=1.0))
-    dealer.changed(at + 0.2, offer(3, north=1.0, west=1.0, south=1.0))
+    dealer.change_contracts(at + 0.1, offer(2, west=1.0, north=1.0))
+    dealer.change_contracts(at + 0.2, offer(3, north=1.0, west=1.0, south=1.0))
     assert dealt(dealer, at + 0.3, 1, 3, 2) == 0.0 and dealt(dealer, at + 0.3, 1, 3, 1) == 0.0
     assert dealt(dealer, at + 0.2 + LENGTH * 1.1, 1, 3, 2, mark=2) == 1.0
 
@@ -447,7 +447,7 @@
         key = node, generation
         mark = self.marks[key] = self.marks.get(key, 0) + 1
         acts_on, part = self.has.get(key, (0, 0))
-        got = self.dealer.want_came(
+        got = self.dealer.on_request(
             self.now,
             node,
             generation,
@@ -510,7 +510,7 @@
     nodes.ask(0, 100.0)
     assert nodes.ask(0, 100.0, generation=2) == 0.0
     mark = nodes.marks[0, 1] + 1
-    assert nodes.dealer.want_came(nodes.now, 0, 1, QuotaRequest(mark, 7, 7, [(0, 0, 0, 0)])) is None
+    assert nodes.dealer.on_request(nodes.now, 0, 1, QuotaRequest(mark, 7, 7, [(0, 0, 0, 0)])) is None
     assert nodes.ask(0, 100.0, generation=2) == 10.0
 
 
@@ -529,7 +529,7 @@
     nodes.has[0, 1], nodes.marks[0, 1] = (1, 4 * MILLION), 1
 
     def tells(node, first, last, rows, mark):
-        return nodes.dealer.want_came(0.1, node, 1, QuotaRequest(mark, 7, 7, rows, first, last))
+        return nodes.dealer.on_request(0.1, node, 1, QuotaRequest(mark, 7, 7, rows, first, last))
 
     tells(0, 2, 2, [(0, 100 * MILLION, 1, 4 * MILLION)], 2)
     tells(1, 1, 1, [], 1)
@@ -544,7 +544,7 @@
 def test_a_whole_that_got_smaller_waits_out_what_is_out():
     nodes = Nodes()
     nodes.ask(0, 100.0)
-    nodes.dealer.changed(nodes.now, ContractSet(2, 7, ("north",), (3 * MILLION,)))
+    nodes.dealer.change_contracts(nodes.now, ContractSet(2, 7, ("north",), (3 * MILLION,)))
     assert nodes.ask(1, 100.0) == 0.0 and nodes.ask(0, 100.0) <= 3.0
     nodes.ask(0, 100.0)
     assert nodes.ask(1, 100.0) + nodes.part(0) <= 3.0
@@ -553,7 +553,7 @@
 def test_a_question_that_was_doubled_or_overtaken_gets_no_answer():
     nodes = Nodes()
     nodes.ask(0, 1.0)
-    assert nodes.dealer.want_came(nodes.now, 0, 1, QuotaRequest(1, 7, 7, [(0, MILLION, 1, 0)])) is None
+    assert nodes.dealer.on_request(nodes.now, 0, 1, QuotaRequest(1, 7, 7, [(0, MILLION, 1, 0)])) is None
 
 
 class Asked:
@@ -562,8 +562,8 @@
     def __init__(self):
         self.told, self.office, self.account = [], (1, 0, 5), account()
         self.holder = quotas.QuotaClient(self, QuotaPolicy(LENGTH), lambda: self.office)
-        self.holder.purses = lambda: [self.account]
-        self.holder.changed(7, {})
+        self.holder.list_accounts = lambda: [self.account]
+        self.holder.follow_contracts(7, {})
         self.account.wanted(0.0, 3.0)
 
     def tell(self, seat, message):
@@ -573,14 +573,14 @@
         pass
 
     def grants(self, now, mark, part=MILLION, sender=0):
-        self.holder.grant_came(now, sender, QuotaGrant(mark, 7, int(LENGTH * 1e3), [(0, part)]))
+        self.holder.on_grant(now, sender, QuotaGrant(mark, 7, int(LENGTH * 1e3), [(0, part)]))
         return self.account.holds(now)
 
 
 @pytest.fixture
 def asked():
     made = Asked()
-    made.holder.ask(1.0)
+    made.holder.request_leases(1.0)
     return made
 
 
@@ -593,19 +593,19 @@
 
 def test_an_answer_to_an_earlier_question_counts_no_more_after_a_later_one(asked):
     asked.account.wanted(1.0, 3.0)
-    asked.holder.ask(1.2)
+    asked.holder.request_leases(1.2)
     assert asked.grants(1.3, 2, 5) == 5 and asked.grants(1.3, 1) == 5
 
 
 def older_answers(holder, now, sender, got):
     """A broken holder: takes whatever arrives last."""
     holder.used_numbers = {}
-    return quotas.QuotaClient.grant_came(holder, now, sender, got)
+    return quotas.QuotaClient.on_grant(holder, now, sender, got)
 
 
 def test_a_holder_that_takes_whatever_arrives_last_is_told_apart(asked):
     asked.account.wanted(1.0, 3.0)
-    asked.holder.ask(1.2)
+    asked.holder.request_leases(1.2)
     assert asked.grants(1.3, 2, 5) == 5
     older_answers(asked.holder, 1.3, 0, QuotaGrant(1, 7, int(LENGTH * 1e3), [(0, MILLION)]))
     assert asked.account.holds(1.3) != 5
@@ -615,15 +615,15 @@
     """The same seat in office again: its answer from before is still on its way."""
     asked.office = (2, 0, 5)
     assert asked.grants(1.1, 1) == 0
-    asked.holder.ask(1.2)
+    asked.holder.request_leases(1.2)
     assert asked.told[-1].rows[0][3] == 0 and asked.grants(1.3, 1) == 0
 
 
 def test_one_that_wants_and_has_nothing_closes_its_earlier_questions(asked):
     asked.account.wants = lambda now: 0.0
-    asked.holder.ask(1.5)
+    asked.holder.request_leases(1.5)
     assert asked.told[-1].rows == [(0, 0, 0, 0)] and asked.grants(1.6, 1) == 0
-    asked.holder.ask(2.0)
+    asked.holder.request_leases(2.0)
     assert asked.told[-1].rows == []
 
 
--- a/tests/cluster/test_fleet_virtual.py
+++ b/tests/cluster/test_fleet_virtual.py
@@ -125,7 +125,7 @@
     told, _ = load("zone-tight")
     told = scaled(replace(told, run=replace(told.run, seconds=9.0)), 40)
     decided, spread = follows(told)
-    monkeypatch.setattr(ClusterMember, "tell_early", lambda self: None)
+    monkeypatch.setattr(ClusterMember, "report_health_early", lambda self: None)
     later, _ = follows(told)
     monkeypatch.setattr(Zones, "alarmed", lambda self, seat: False)
     late, slow = follows(told, in_turn=True)
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -34,9 +34,9 @@
 
 class Seat:
     def __init__(self):
-        self.follower, self.evidence, self.alarms = Follower(), None, 0
+        self.follower, self.observe_health, self.alarms = Follower(), None, 0
 
-    def tell_early(self):
+    def report_health_early(self):
         self.alarms += 1
 
 
@@ -67,7 +67,7 @@
         """What this node met there since it told last."""
         for _ in range(tried):
             self.dispatcher.health_observer.count_outcome(zone, missed, False)
-        self.seat.evidence(self.now)
+        self.seat.observe_health(self.now)
 
     def shunned(self):
         return [n for n, zone in self.dispatcher.policy.zones.items() if zone.away_until == float("inf")]
--- a/tests/cluster/test_zones_virtual.py
+++ b/tests/cluster/test_zones_virtual.py
@@ -21,7 +21,7 @@
 
     def make(self, host, seat, seats, generation, now, **named):
         made = ClusterMember(host, seat, seats, generation, now, zones=ZonePolicy((0,) * ZONES), **named)
-        made.evidence = lambda now: HealthObservations(
+        made.observe_health = lambda now: HealthObservations(
             seat % ZONES,
             1000,
             [(zone, 10, 10 if zone in self.lost else 0, 0, 10, seats * 1000) for zone in range(ZONES)],
