--- a/firwalk/cluster/plan_enforcement.py
+++ b/firwalk/cluster/plan_enforcement.py
@@ -38,7 +38,7 @@
 class QuotaEnforcer(Protocol):
     """The quota part (`firwalk.cluster.quota_accounting.QuotaAccounting`)."""
 
-    def follow(self, now: float) -> None:
+    def follow_plan(self, now: float) -> None:
         """Applies the plan in force."""
 
     def end(self) -> None:
@@ -99,16 +99,16 @@
         self.mix = PriorityMix()
         self.is_reachable = [True] * zones  # by this node's own observations
         dispatcher.cluster_admission = self.admission_weight
-        member.follower.changed = self.follow
+        member.follower.on_plan_changed = self.follow_plan
         if zones:
             self._observe_health(now)
 
     def _observe_health(self, now: float) -> None:
-        observer = HealthObserver(self.zone, self.zones, now, self.member.follower.report)
-        observer.on_zone_unavailable = self.member.tell_early
+        observer = HealthObserver(self.zone, self.zones, now, self.member.follower.report_interval_s)
+        observer.on_zone_unavailable = self.member.report_health_early
         self.dispatcher.health_observer = observer
-        self.member.evidence = self._report
-        self.member.early = self._early_report
+        self.member.observe_health = self._report
+        self.member.observe_health_early = self._early_report
 
     def stop(self) -> None:
         """Zones: as without a plan. Quotas: none is left, guaranteed parts neither, since a node that shuts
@@ -121,13 +121,13 @@
         else:
             self.quotas.end()
 
-    def follow(self, now: float) -> None:
+    def follow_plan(self, now: float) -> None:
         """Applies the plan; without one in force all traffic stays local and nothing is rejected."""
         if self.quotas is not None:
-            self.quotas.follow(now)
+            self.quotas.follow_plan(now)
         if not self.zones:
             return
-        section = (self.member.follower.now_in_force(now) or {}).get("zones")
+        section = (self.member.follower.sections_in_force(now) or {}).get("zones")
         self.routing = decode_routing(section, self.zone, self.zones)
         self.excluded = decode_excluded(section, self.zones)
         self._exclude_zones()
@@ -153,7 +153,7 @@
             return True
         if self.is_reachable[self.zone] and not self._is_own_zone_drained():
             return True  # What fits nowhere stays local where the zone can be reached.
-        interval_s = self.member.follower.report
+        interval_s = self.member.follower.report_interval_s
         request.ref.retry_after = RETRY_AFTER_REPORTS * interval_s * (0.5 + draw)
         return False
 
@@ -163,7 +163,7 @@
     def _report(self, now: float) -> HealthObservations:
         observer = self.dispatcher.health_observer
         assert observer is not None
-        report = observer.report(now, self.dispatcher.zone_capacities(self.zones))
+        report = observer.build_report(now, self.dispatcher.zone_capacities(self.zones))
         for zone, observation in enumerate(observer.last_reported):
             if observation.attempts:
                 self.is_reachable[zone] = not observation.is_unavailable()
@@ -173,7 +173,7 @@
     def _early_report(self) -> HealthObservations:
         observer = self.dispatcher.health_observer
         assert observer is not None
-        return observer.early_report(self.dispatcher.zone_capacities(self.zones))
+        return observer.build_early_report(self.dispatcher.zone_capacities(self.zones))
 
     def _exclude_zones(self) -> None:
         """Excludes zones for the whole cluster, so that not each node loses requests to find out.
--- a/firwalk/cluster/rollout_controller.py
+++ b/firwalk/cluster/rollout_controller.py
@@ -32,16 +32,16 @@
     def __init__(self) -> None:
         self.rows_by_class: dict[str, Row] = {}
 
-    def of(self, request_class: str) -> Row:
+    def row_of(self, request_class: str) -> Row:
         """The counters of a request class, by its name."""
         row = self.rows_by_class.get(request_class)
         if row is None:
             row = self.rows_by_class[request_class] = Row(crc32(request_class.encode()))
         return row
 
-    def finished(self, request_class: str, attempts: int, took: float, late: bool) -> None:
+    def count_completed(self, request_class: str, attempts: int, took: float, late: bool) -> None:
         """A request was completed after `took` seconds."""
-        row = self.of(request_class)
+        row = self.row_of(request_class)
         row.requests += 1
         row.attempts += attempts
         row.late += late
@@ -50,23 +50,23 @@
         row.log_times += logarithm
         row.log_time_squares += logarithm * logarithm
 
-    def bounced(self, request_class: str, attempts: int) -> None:
+    def count_rejected(self, request_class: str, attempts: int) -> None:
         """A request was rejected."""
-        row = self.of(request_class)
+        row = self.row_of(request_class)
         row.requests += 1
         row.rejected += 1
         row.attempts += attempts
 
-    def abandoned(self, request_class: str, attempts: int) -> None:
+    def count_failed(self, request_class: str, attempts: int) -> None:
         """A request failed with an unknown outcome."""
-        row = self.of(request_class)
+        row = self.row_of(request_class)
         row.requests += 1
         row.failed += 1
         row.attempts += attempts
 
-    def erred(self, request_class: str) -> None:
+    def count_error(self, request_class: str) -> None:
         """An attempt ended with an error."""
-        self.of(request_class).errors += 1
+        self.row_of(request_class).errors += 1
 
     def rows(self) -> list[MetricsRow]:
         """All counters, as they are reported."""
@@ -110,47 +110,49 @@
 class RolloutController:
     """The part of one incarnation of a cluster member.
 
-    `release` and `tag`: what this process runs, and its settings' tag; `memory()` in bytes; `named(name)`
-    finds a rollout file, its checksum and its faults.
+    `release` and `tag`: what this process runs, and its settings' tag; `memory()` in bytes;
+    `find_file(name)` finds a rollout file, its checksum and its faults.
     """
 
     def __init__(
         self,
-        seat: Any,
-        tally: RolloutCounters,
+        member: Any,
+        counters: RolloutCounters,
         release: str,
         tag: Callable[[], str],
         zone: int,
         memory: Callable[[], float],
         terms: RolloutPolicy,
-        named: FileLookup,
+        find_file: FileLookup,
     ) -> None:
-        self.seat = seat
-        self.tally = tally
+        self.member = member
+        self.counters = counters
         self.release = release
         self.tag = tag
         self.zone = zone
         self.memory = memory
         self.intervals = 0  # since the last report
         self.recorded = RunningConfiguration("", 0)
-        self.reported_office = m.NOBODY
+        self.reported_term = m.NO_BALLOT
         self.contracts_version: Callable[[], int] = _no_contracts  # of those that this node follows
-        self.roll: Rollout | None = None  # at nodes that may become the coordinator
-        if seat.writer is not None:
-            self.roll = Rollout(terms, seat.candidate.voters, seat.seats, named, seat.host.event)
-        seat.changing = self
+        self.rollout: Rollout | None = None  # at nodes that may become the coordinator
+        if member.plan_publisher is not None:
+            self.rollout = Rollout(
+                terms, member.proposer.voters, member.cluster_size, find_file, member.host.event
+            )
+        member.rollout_controller = self
 
     def start(self, now: float) -> None:
         """Begins to report at regular times."""
         self._record_configuration()
-        self.seat.host.set_timer(now, self._report, None)
+        self.member.host.set_timer(now, self._report, None)
 
     def _configuration(self) -> RunningConfiguration:
         return RunningConfiguration(self.tag(), self.contracts_version())
 
     def _record_configuration(self) -> None:
         self.recorded = self._configuration()
-        self.seat.host.event(
+        self.member.host.event(
             "runs", release=self.release, tag=self.recorded.tag, contracts=self.recorded.contracts
         )
 
@@ -158,7 +160,7 @@
 
     def section(self, now: float) -> RolloutSection | None:
         """Of the plan in force; None: there is none, and nothing is to be changed now."""
-        sections = self.seat.follower.now_in_force(now)
+        sections = self.member.follower.sections_in_force(now)
         if sections is None:
             return None
         section: RolloutSection = sections.get("stages", {})
@@ -171,7 +173,7 @@
         if section is None:
             return "hold"
         try:
-            is_new = self.seat.seat in decode_ranges(section["new"])
+            is_new = self.member.node_id in decode_ranges(section["new"])
             version = section["what"] if is_new else section["before"]
             if section["kind"] == CONTRACTS:
                 return "nothing"  # The node itself changes its contracts.
@@ -182,28 +184,30 @@
     # -- reports -------------------------------------------------------------------------------------------
 
     def _report(self, now: float, _: None) -> None:
-        interval_s = self.seat.follower.report
-        office = self.seat.follower.office
+        interval_s = self.member.follower.report_interval_s
+        leader_term = self.member.follower.leader_term
         if self._configuration() != self.recorded:
             self._record_configuration()
             self.intervals = IDLE_REPORT_INTERVALS  # The coordinator's knowledge of this node is outdated.
         self.intervals += 1
-        if office != m.NOBODY and self._is_report_due(now, office):
+        if leader_term != m.NO_BALLOT and self._is_report_due(now, leader_term):
             self.intervals = 0
-            self.reported_office = office
-            for message in self.figures(now):
-                self.seat.host.tell(office[1], message)
-        self.seat.host.set_timer(now + interval_s, self._report, None)
+            self.reported_term = leader_term
+            for message in self.build_reports(now):
+                self.member.host.tell(leader_term[1], message)
+        self.member.host.set_timer(now + interval_s, self._report, None)
 
-    def _is_report_due(self, now: float, office: m.Ballot) -> bool:
+    def _is_report_due(self, now: float, leader_term: m.Ballot) -> bool:
         """Seldom without a rollout, but at once for a new coordinator."""
         is_active = (self.section(now) or {}).get("state") in (GOING, HELD, BACK)
-        return is_active or self.intervals >= IDLE_REPORT_INTERVALS or office != self.reported_office
+        return is_active or self.intervals >= IDLE_REPORT_INTERVALS or leader_term != self.reported_term
 
-    def figures(self, now: float) -> list[m.RolloutMetrics]:
+    def build_reports(self, now: float) -> list[m.RolloutMetrics]:
         """The report, in as many messages as it needs."""
-        rows = self.tally.rows()
-        parts = [rows[start : start + m.MOST_COUNTED] for start in range(0, len(rows), m.MOST_COUNTED)]
+        rows = self.counters.rows()
+        parts = [
+            rows[start : start + m.MAX_METRICS_ROWS] for start in range(0, len(rows), m.MAX_METRICS_ROWS)
+        ]
         number = (self.section(now) or {}).get("number", 0)
         memory = min(int(self.memory() / MEMORY_UNIT_BYTES), MAX_MEMORY)
         release = crc32(self.release.encode())
@@ -216,60 +220,64 @@
 
     # -- the coordinator's ---------------------------------------------------------------------------------
 
-    def came(self, now: float, seat: int, generation: int, got: m.RolloutMetrics) -> None:
+    def on_metrics(self, now: float, node_id: int, generation: int, got: m.RolloutMetrics) -> None:
         """A node's report."""
-        if self.roll is not None and self.seat.writer.in_office(now):
-            self.roll.figures_came(now, seat, generation, got)
+        if self.rollout is not None and self.member.plan_publisher.is_leader(now):
+            self.rollout.on_metrics(now, node_id, generation, got)
 
-    def opened(self, now: float, section: Any) -> None:
+    def open(self, now: float, section: Any) -> None:
         """This node is the coordinator, and goes on from the plan."""
-        if self.roll is not None:
-            self.roll.resumed(now, section)
+        if self.rollout is not None:
+            self.rollout.restore(now, section)
 
-    def contracts(self) -> StagedContracts | None:
+    def staged_contracts(self) -> StagedContracts | None:
         """The contracts that a rollout brings; None: it brings none."""
-        section = self.roll.section if self.roll is not None else {}
+        section = self.rollout.section if self.rollout is not None else {}
         if section.get("kind") != CONTRACTS:
             return None
         ended = section["state"] if section["state"] in (DONE, STOPPED) else ""
         return StagedContracts(int(section["before"]), int(section["what"]), ended)
 
-    def look(self, now: float, up: list[int]) -> dict[str, RolloutSection]:
+    def evaluate(self, now: float, up: list[int]) -> dict[str, RolloutSection]:
         """An evaluation round: the plan's section."""
-        assert self.roll is not None
-        section = self.roll.look(now, up, self._unfit_zone())
+        assert self.rollout is not None
+        section = self.rollout.evaluate(now, up, self._unfit_zone())
         return {"stages": section} if section else {}
 
     def _unfit_zone(self) -> str:
         """A zone because of which nothing may be changed now."""
-        if self.seat.zones is None:
+        if self.member.zones is None:
             return ""
-        for zone in self.seat.zones.all:
+        for zone in self.member.zones.all:
             if zone.state or zone.is_drained or zone.is_drained_by_file:
                 return f"zone {zone.number} is not open"
         return ""
 
-    def word_came(self, now: float, seat: int, got: m.RolloutCommand) -> tuple[bool, str]:
+    def execute(self, now: float, node_id: int, got: m.RolloutCommand) -> tuple[bool, str]:
         """An operator's command, or an agent's, at the coordinator: whether it is done, and the answer."""
-        roll = self.roll
-        up = self.seat.members.up()
-        if roll is None or not self.seat.writer.in_office(now) or not self.seat.writer.version:
+        rollout = self.rollout
+        up = self.member.members.up()
+        if (
+            rollout is None
+            or not self.member.plan_publisher.is_leader(now)
+            or not self.member.plan_publisher.version
+        ):
             return False, "the coordinator is just coming into office; ask again"
         if got.word == "page":
-            return True, roll.page(got.check)
+            return True, rollout.page(got.argument)
         if got.word == "dry":
             page = int(got.text) if got.text.isdecimal() else 0
-            return roll.dry(now, got.name, got.check, up, page)
+            return rollout.dry_run(now, got.name, got.argument, up, page)
         commands: dict[str, Callable[[], str]] = {
-            "start": lambda: roll.start(now, got.name, got.check, up),
-            "hold": lambda: roll.hold(now),
-            "resume": lambda: roll.resume(now),
-            "back": lambda: roll.back(now),
-            "failed": lambda: roll.failed(now, seat, got.check, got.text),
+            "start": lambda: rollout.start(now, got.name, got.argument, up),
+            "hold": lambda: rollout.hold(now),
+            "resume": lambda: rollout.resume(now),
+            "back": lambda: rollout.roll_back(now),
+            "failed": lambda: rollout.on_start_failed(now, node_id, got.argument, got.text),
         }
         if got.word not in commands:
             return False, "no such word"
         reason = commands[got.word]()
         if not reason:
-            self.seat.writer.put(now, self.look(now, up))
+            self.member.plan_publisher.change_sections(now, self.evaluate(now, up))
         return not reason, reason
--- a/firwalk/lab/purses.py
+++ b/firwalk/lab/purses.py
@@ -65,7 +65,7 @@
     def _begin(
         self, host: Process, number: int, seats: int, generation: int, now: float, **named: Any
     ) -> ClusterMember:
-        seat = self.make(host, number, seats, generation, now, budgets_by=self.terms, **named)
+        seat = self.make(host, number, seats, generation, now, quota_policy=self.terms, **named)
         made = self.spending[number] = QuotaAccounting(
             seat,
             host.clock,
@@ -75,10 +75,10 @@
             ),
         )
         if self.staged:
-            seat.changing = Staging(self)
-        seat.follower.changed = made.follow
+            seat.rollout_controller = Staging(self)
+        seat.follower.on_plan_changed = made.follow_plan
         self.prepare(made)
-        made.has(self.contracts[getattr(self, "newest", 0)])
+        made.add_contracts(self.contracts[getattr(self, "newest", 0)])
         return seat
 
     def happened(self, now: float, process: Process, what: str, about: dict) -> None:
@@ -110,7 +110,7 @@
 
     def _file(self, seat: int, number: int) -> None:
         if self.world.processes[seat].alive and number == self.newest:
-            self.spending[seat].has(self.contracts[number])
+            self.spending[seat].add_contracts(self.contracts[number])
 
     def _task(self) -> None:
         """One somewhere: most come at one node, and that is another one every two seconds."""
@@ -156,11 +156,11 @@
             return DONE, seats
         return (BACK, max(int((0.75 - part) / 0.15 * seats), 0)) if part < 0.8 else (STOPPED, 0)
 
-    def contracts(self) -> tuple[int, int, str] | None:
+    def staged_contracts(self) -> tuple[int, int, str] | None:
         state, _ = self._state()
         return (1, 2, state if state in (DONE, STOPPED) else "") if state else None
 
-    def look(self, now: float, up: list[int]) -> dict[str, Any]:
+    def evaluate(self, now: float, up: list[int]) -> dict[str, Any]:
         state, named = self._state()
         return (
             {"stages": {"kind": CONTRACTS, "state": state, "new": encode_ranges(list(range(named)))}}
@@ -168,7 +168,7 @@
             else {}
         )
 
-    def opened(self, now: float, section: Any) -> None:
+    def open(self, now: float, section: Any) -> None:
         pass
 
 
--- a/firwalk/net/cluster_commands.py
+++ b/firwalk/net/cluster_commands.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from firwalk.cluster.messages import MAX_ROLLOUT_NAME_CHARS, NOBODY
+from firwalk.cluster.messages import MAX_ROLLOUT_NAME_CHARS, NO_BALLOT
 from firwalk.cluster.operator_commands import OnResult
 from firwalk.cluster.zones import REGION, Mode
 
@@ -84,16 +84,20 @@
 
     async def _show_quotas(self) -> CommandReply:
         """Each tenant that has anything at this node."""
-        accounting = self.cluster.spending
+        accounting = self.cluster.quota_accounting
         if accounting is None or accounting.ledger.contracts is None:
             return CommandReply("", "no contracts are in force at this node")
-        tenants = accounting.shown(time.monotonic())
+        tenants = accounting.describe_accounts(time.monotonic())
         return CommandReply("; ".join([f"contracts {accounting.ledger.contracts.version}", *tenants]))
 
     async def _show_zones(self) -> CommandReply:
         """The zones by the plan that this node follows."""
         cluster = self.cluster
-        sections = cluster.seat.follower.now_in_force(time.monotonic()) if cluster.seat is not None else None
+        sections = (
+            cluster.member.follower.sections_in_force(time.monotonic())
+            if cluster.member is not None
+            else None
+        )
         section = (sections or {}).get("zones")
         if not section:
             return CommandReply("", "no plan in force tells of zones: all traffic stays near")
@@ -108,14 +112,14 @@
 
     async def _show_wanted(self) -> CommandReply:
         """What the plan in force wants this node to run, and what it runs."""
-        controller = self.cluster.changing
+        controller = self.cluster.rollout_controller
         if controller is None:
             return CommandReply("", "another process speaks for this node")
         wanted = controller.wanted(time.monotonic())
         return CommandReply(f"{wanted} runs {controller.release or '-'} {self.cluster.tag() or '-'}")
 
     async def _show_rollout(self) -> CommandReply:
-        controller = self.cluster.changing
+        controller = self.cluster.rollout_controller
         section = controller.section(time.monotonic()) if controller is not None else None
         if section is None:
             return CommandReply("", "no plan is in force here")
@@ -150,19 +154,21 @@
     async def _send_rollout_command(
         self, word: str, name: str = "", check: int = 0, text: str = ""
     ) -> CommandReply:
-        member = self.cluster.seat
+        member = self.cluster.member
         if member is None:
             return CommandReply("", "another process speaks for this node")
         short_name = name[:MAX_ROLLOUT_NAME_CHARS]
         return await self._await_leader(
-            lambda now, on_result: member.word(now, word, short_name, check, text, on_result)
+            lambda now, on_result: member.send_rollout_command(now, word, short_name, check, text, on_result)
         )
 
     async def _send_zone_command(self, word: str, zone: int) -> CommandReply:
-        member = self.cluster.seat
+        member = self.cluster.member
         if member is None:
             return CommandReply("", "another process speaks for this node")
-        return await self._await_leader(lambda now, on_result: member.wish(now, word, zone, on_result))
+        return await self._await_leader(
+            lambda now, on_result: member.send_zone_command(now, word, zone, on_result)
+        )
 
     async def _await_leader(self, send: Callable[[float, OnResult], None]) -> CommandReply:
         reply: asyncio.Future[CommandReply] = self.cluster.loop.create_future()
@@ -177,19 +183,19 @@
 
 def status_line(cluster: ClusterState) -> str:
     """Return one line on the cluster as this node sees it."""
-    if cluster.seat is None:
+    if cluster.member is None:
         return "no seat: another process speaks for this node"
     now = time.monotonic()
-    follower = cluster.seat.follower
+    follower = cluster.member.follower
     term, version = follower.stamp
     plan_state = "over" if version else "none"
-    if follower.now_in_force(now) is not None:
+    if follower.sections_in_force(now) is not None:
         plan_state = "holds"
     words = {
         "seat": cluster.number,
         "seats": len(cluster.addresses),
-        **cluster.seat.members.counts(),
-        "coordinator": follower.office[1] if follower.office != NOBODY else "none",
+        **cluster.member.members.counts(),
+        "coordinator": follower.leader_term[1] if follower.leader_term != NO_BALLOT else "none",
         "ballot": ".".join(map(str, term)),
         "version": version,
         "age": f"{now - follower.taken_at:.2f}" if version else "none",
--- a/tests/cluster/test_fleet_virtual.py
+++ b/tests/cluster/test_fleet_virtual.py
@@ -102,7 +102,7 @@
     fleet = Fleet(told, 1)
     if in_turn:
         for process in fleet.world.processes:
-            process.seat.follower.hurried = ((2**40, 0, 0), 0)
+            process.seat.follower.early_report_stamp = ((2**40, 0, 0), 0)
     fleet.run(SETTLE)
     decided = next(
         at for at, _, _, what, about in fleet.world.history if what == "zone" and about["mode"] == "away"
@@ -125,7 +125,7 @@
     told, _ = load("zone-tight")
     told = scaled(replace(told, run=replace(told.run, seconds=9.0)), 40)
     decided, spread = follows(told)
-    monkeypatch.setattr(ClusterMember, "tell_early", lambda self: None)
+    monkeypatch.setattr(ClusterMember, "report_health_early", lambda self: None)
     later, _ = follows(told)
     monkeypatch.setattr(Zones, "alarmed", lambda self, seat: False)
     late, slow = follows(told, in_turn=True)
--- a/tests/cluster/test_plan.py
+++ b/tests/cluster/test_plan.py
@@ -29,7 +29,9 @@
 
 
 def in_force(made):
-    return [process.seat.follower.now_in_force(process.clock()) is not None for process in made.processes]
+    return [
+        process.seat.follower.sections_in_force(process.clock()) is not None for process in made.processes
+    ]
 
 
 def both_ways(at, length, a, b):
@@ -90,15 +92,15 @@
 
 def test_a_plan_holds_from_the_question_however_late_the_answer():
     box = Box()
-    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold_s=3.0)
+    follower = PlanFollower(box, 3, RandomSource(1), report_interval_s=0.5, hold_s=3.0)
     stamp = ((4, 0, 9), 2)
     follower.on_leader_term(10.0, stamp[0])
-    mark = box.sent[-1][1].mark
+    mark = box.sent[-1][1].number
     for piece in split_plan(stamp, encode_plan({"a": 1})):
         follower.on_piece(12.5, piece)
     assert follower.sections == {}  # pieces alone tell nothing of its time
     follower.on_answer(12.5, 0, Answer(mark, *stamp))
-    assert follower.now_in_force(12.9) == {"a": 1} and follower.now_in_force(13.1) is None
+    assert follower.sections_in_force(12.9) == {"a": 1} and follower.sections_in_force(13.1) is None
 
 
 def test_a_plan_too_long_for_its_pieces_is_turned_down_whole():
@@ -106,21 +108,21 @@
         encode_plan({"a": "x" * MAX_PIECES * PIECE_BYTES})
     made, _ = world(10.0)
     process = made.processes[made.coordinator()]
-    before = process.seat.writer.stamp()
+    before = process.seat.plan_publisher.stamp()
     with pytest.raises(PlanTooLarge):
         process.seat.set_section(process.clock(), "long", "x" * 20000)
-    assert process.seat.writer.stamp() == before
+    assert process.seat.plan_publisher.stamp() == before
 
 
 def test_a_spoilt_piece_is_asked_for_again():
     box = Box()
-    follower = PlanFollower(box, 3, RandomSource(1), report=0.5, hold_s=3.0)
+    follower = PlanFollower(box, 3, RandomSource(1), report_interval_s=0.5, hold_s=3.0)
     stamp = ((4, 0, 9), 2)
     follower.on_leader_term(10.0, stamp[0])
     parts = split_plan(stamp, encode_plan({"a": "x" * 300}))
     bad = split_plan(stamp, b"y" * len(parts[0].data))[0]
-    bad.count, bad.check = parts[0].count, parts[0].check
-    follower.on_answer(10.1, 0, Answer(box.sent[-1][1].mark, *stamp))
+    bad.count, bad.checksum = parts[0].count, parts[0].checksum
+    follower.on_answer(10.1, 0, Answer(box.sent[-1][1].number, *stamp))
     for piece in [bad, *parts[1:]]:
         follower.on_piece(10.2, piece)
     assert follower.assembly is None and follower.sections == {}
--- a/tests/cluster/test_stages.py
+++ b/tests/cluster/test_stages.py
@@ -289,7 +289,7 @@
 def test_what_the_plan_tells_of_stages_stays_bounded():
     roll = Rollout(RolloutPolicy(), [0], 3, lambda name: (CHANGE, CHECK, []))
     for seat in range(3):
-        roll.figures_came(1.0, seat, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
+        roll.on_metrics(1.0, seat, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
     assert roll.start(1.0, "c", CHECK, [0, 1, 2]) == ""
     for _ in range(30):
         roll.comparison.stage = compared((400, 40, 4.0), (400, 2, 4.0))
@@ -321,7 +321,7 @@
     for part in fleet.made.values():
         part.contracts_version = lambda: 7
     fleet.world.run(14.0 + 2.5 * RolloutPolicy().report)
-    told = fleet.made[coordinator].roll.nodes.metrics
+    told = fleet.made[coordinator].rollout.nodes.metrics
     assert {seat: one.version.contracts for seat, one in told.items()} == dict.fromkeys(range(12), 7)
 
 
@@ -349,7 +349,7 @@
 
 def test_a_fleet_of_one_is_told_that_it_would_forget_the_change():
     roll = Rollout(RolloutPolicy(), [0], 1, lambda name: (CHANGE, CHECK, []))
-    roll.figures_came(1.0, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
+    roll.on_metrics(1.0, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, []))
     assert roll.start(1.0, "c", CHECK, [0]).startswith("only one node is up") and roll.section == {}
 
 
@@ -546,9 +546,9 @@
     roll = Rollout(RolloutPolicy(), [0], 2, lambda name: (CHANGE, CHECK, []))
     for at, tasks in ((0.0, 100), (100.0, 150), (310.0, 400), (700.0, 1000), (710.0, 1010)):
         row = (1, tasks, 0, 0, 0, 0, tasks, 0, 0, 0)
-        roll.figures_came(at, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [row]))
+        roll.on_metrics(at, 0, 5, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [row]))
     assert [one.requests for one in roll.nodes.metrics[0].past()] == [610]
-    roll.figures_came(720.0, 0, 6, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [(1, 5, *[0] * 8)]))
+    roll.on_metrics(720.0, 0, 6, m.RolloutMetrics(0, crc32(b"v1"), 0, 0, 200, [(1, 5, *[0] * 8)]))
     assert [one.requests for one in roll.nodes.metrics[0].past()] == [0]
 
 
@@ -632,52 +632,55 @@
 
 def test_the_largest_figures_fit_a_datagram():
     row = (2**32 - 1, *[2**31] * 7, 2**48, 2**48)
-    figures = m.RolloutMetrics(2**31, 2**32 - 1, 2**32 - 1, 65535, 65535, [row] * m.MOST_COUNTED)
+    figures = m.RolloutMetrics(2**31, 2**32 - 1, 2**32 - 1, 65535, 65535, [row] * m.MAX_METRICS_ROWS)
     data = m.encode(7, 65535, 2**32 - 1, 2**31, figures)
-    assert len(data) <= m.LONGEST and m.decode(7, data)[3] == figures
+    assert len(data) <= m.MAX_DATAGRAM_BYTES and m.decode(7, data)[3] == figures
 
 
 # Bytes of each kind of message as they were when it came to be: a newer version must go on reading them
 # (`docs/stages.md`, the rule for changing formats). Never change one of these lines; add.
 RECORDED = [
-    (m.Ping(number=5, office=(3, 1, 77), news=[(2, 1, 9, 0)]), "9401059303014d919402010900"),
-    (m.Ack(number=5, office=(3, 1, 77), news=[]), "9402059303014d90"),
-    (m.PingRequest(number=5, seat=2, news=[]), "9403050290"),
+    (m.Ping(number=5, leader_term=(3, 1, 77), updates=[(2, 1, 9, 0)]), "9401059303014d919402010900"),
+    (m.Ack(number=5, leader_term=(3, 1, 77), updates=[]), "9402059303014d90"),
+    (m.PingRequest(number=5, node_id=2, updates=[]), "9403050290"),
     (m.Nack(number=5), "920405"),
     (m.Prepare(ballot=(3, 1, 77)), "92059303014d"),
     (m.Promise(ballot=(3, 1, 77), accepted=(2, 0, 6)), "93069303014d93020006"),
     (m.Refuse(ballot=(3, 1, 77), highest=(4, 2, 8)), "93079303014d93040208"),
-    (m.Propose(ballot=(3, 1, 77), length=2000, generation=77), "94089303014dcd07d04d"),
+    (m.Propose(ballot=(3, 1, 77), lease_ms=2000, generation=77), "94089303014dcd07d04d"),
     (m.Accept(ballot=(3, 1, 77)), "92099303014d"),
     (m.Release(ballot=(3, 1, 77)), "920a9303014d"),
     (
-        m.Report(mark=9, term=(3, 1, 77), version=4, next_term=(3, 1, 77), next_version=5, pieces=3),
+        m.Report(number=9, term=(3, 1, 77), version=4, next_term=(3, 1, 77), next_version=5, pieces=3),
         "970b099303014d049303014d0503",
     ),
-    (m.Answer(mark=9, term=(3, 1, 77), version=4), "940c099303014d04"),
+    (m.Answer(number=9, term=(3, 1, 77), version=4), "940c099303014d04"),
     (
-        m.Piece(term=(3, 1, 77), version=4, number=0, count=2, check=123456, data=b"abc"),
+        m.Piece(term=(3, 1, 77), version=4, number=0, count=2, checksum=123456, data=b"abc"),
         "970d9303014d040002ce0001e240c403616263",
     ),
     (m.Fetch(term=(3, 1, 77), version=4), "930e9303014d04"),
     (
-        m.HealthObservations(zone=2, asks=1000, views=[(0, 3, 1, 0, 5, 1000)]),
+        m.HealthObservations(zone=2, demand=1000, observations=[(0, 3, 1, 0, 5, 1000)]),
         "940f02cd03e891960003010005cd03e8",
     ),
     (m.OperatorCommand(number=1, word="drain", zone=2), "941001a5647261696e02"),
     (m.CommandResult(number=1, done=True, text="done"), "941101c3a4646f6e65"),
     (
-        m.QuotaRequest(mark=7, check=11, ready=12, rows=[(3, 500, 1, 400)], first=7, last=7),
+        m.QuotaRequest(number=7, checksum=11, ready=12, rows=[(3, 500, 1, 400)], first=7, last=7),
         "9712070b0c919403cd01f401cd01900707",
     ),
-    (m.QuotaGrant(mark=7, check=11, length=6000, rows=[(3, 500)]), "9513070bcd1770919203cd01f4"),
+    (m.QuotaGrant(number=7, checksum=11, lease_ms=6000, rows=[(3, 500)]), "9513070bcd1770919203cd01f4"),
     (
         m.RolloutMetrics(
-            change=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)]
+            rollout=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)]
         ),
         "971404050601cd012c919a09010203040506070809",
     ),
-    (m.RolloutCommand(number=2, word="start", name="v2", check=99, text=""), "961502a57374617274a2763263a0"),
+    (
+        m.RolloutCommand(number=2, word="start", name="v2", argument=99, text=""),
+        "961502a57374617274a2763263a0",
+    ),
 ]
 
 
@@ -685,7 +688,13 @@
 GROWN = [
     (
         m.RolloutMetrics(
-            change=4, release=5, tag=6, zone=1, memory=300, rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)], contracts=2
+            rollout=4,
+            release=5,
+            tag=6,
+            zone=1,
+            memory=300,
+            rows=[(9, 1, 2, 3, 4, 5, 6, 7, 8, 9)],
+            contracts=2,
         ),
         "981404050601cd012c919a0901020304050607080902",
     ),
@@ -715,6 +724,6 @@
     assert fleet.made[5].wanted(process.clock()) == "nothing"
     roll = Rollout(RolloutPolicy(), [0], 3, lambda name: (None, 0, []))
     for section in (None, [], {"state": "going"}, "x"):
-        roll.resumed(0.0, section)
-        assert roll.look(1.0, [0, 1, 2], "") == {}
+        roll.restore(0.0, section)
+        assert roll.evaluate(1.0, [0, 1, 2], "") == {}
     assert stages_module.DONE == "done"
--- a/tests/cluster/test_steering.py
+++ b/tests/cluster/test_steering.py
@@ -23,20 +23,20 @@
 class Follower:
     """A plan as a test says it; None: none is in force."""
 
-    report, changed = 0.5, None
+    report_interval_s, on_plan_changed = 0.5, None
 
     def __init__(self):
         self.zones = None
 
-    def now_in_force(self, now):
+    def sections_in_force(self, now):
         return None if self.zones is None else {"zones": self.zones}
 
 
 class Seat:
     def __init__(self):
-        self.follower, self.evidence, self.alarms = Follower(), None, 0
+        self.follower, self.observe_health, self.alarms = Follower(), None, 0
 
-    def tell_early(self):
+    def report_health_early(self):
         self.alarms += 1
 
 
@@ -61,13 +61,13 @@
             "away": {str(a): part for a, part in (away or {}).items()},
             "panic": panic,
         }
-        self.seat.follower.changed(self.now)
+        self.seat.follower.on_plan_changed(self.now)
 
     def met(self, zone, missed, tried=10):
         """What this node met there since it told last."""
         for _ in range(tried):
-            self.dispatcher.health_observer.ended(zone, missed, False)
-        self.seat.evidence(self.now)
+            self.dispatcher.health_observer.count_outcome(zone, missed, False)
+        self.seat.observe_health(self.now)
 
     def shunned(self):
         return [
@@ -116,7 +116,7 @@
         node.plan((AWAY, OPEN, OPEN), {0: {0: 1.0}}, panic=True)
     elif end == "over":
         node.seat.follower.zones = None
-        node.seat.follower.changed(node.now)
+        node.seat.follower.on_plan_changed(node.now)
     else:
         node.steering.stop()
     zones, away = node.took()
--- a/tests/cluster/test_zones_virtual.py
+++ b/tests/cluster/test_zones_virtual.py
@@ -21,7 +21,7 @@
 
     def make(self, host, seat, seats, generation, now, **named):
         made = ClusterMember(host, seat, seats, generation, now, zones=ZonePolicy((0,) * ZONES), **named)
-        made.evidence = lambda now: HealthObservations(
+        made.observe_health = lambda now: HealthObservations(
             seat % ZONES,
             1000,
             [(zone, 10, 10 if zone in self.lost else 0, 0, 10, seats * 1000) for zone in range(ZONES)],
@@ -42,7 +42,7 @@
 def keeps(world, zone, seat):
     """Which part of its zone's tasks a node's plan in force keeps there."""
     process = world.processes[seat]
-    sections = process.seat.follower.now_in_force(process.clock()) or {}
+    sections = process.seat.follower.sections_in_force(process.clock()) or {}
     parts, _ = decode_routing(sections.get("zones"), zone, ZONES)
     return sum(
         upto - below
