--- a/firwalk/net/control_channel.py
+++ b/firwalk/net/control_channel.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 from zlib import crc32
 
 import orjson
@@ -50,11 +50,14 @@
     """The node's state file cannot be used."""
 
 
-class OutgoingLine(NamedTuple):
+class OutgoingLine:
     """Bytes still to be sent, and the descriptors to send beside the first of them."""
 
-    data: bytes
-    descriptors: list[socket.socket]
+    __slots__ = ("data", "descriptors")
+
+    def __init__(self, data: bytes, descriptors: list[socket.socket]) -> None:
+        self.data = data
+        self.descriptors = descriptors
 
 
 class ControlChannel:
--- a/firwalk/net/fields.py
+++ b/firwalk/net/fields.py
@@ -23,7 +23,7 @@
     """A field of a request's head is missing or cannot be read."""
 
 
-@dataclass(slots=True)
+@dataclass(init=False, repr=False, eq=False, slots=True)  # generating methods slows the start of a node
 class RequestHead:
     """What the dispatcher is told of a request."""
 
@@ -37,6 +37,28 @@
     has_idempotency_key: bool
     routing_key: bytes  # what the request is about; empty where the target does not say
 
+    def __init__(
+        self,
+        request_class: str,
+        tenant: str,
+        budget_s: float | None,
+        cost_s: float,
+        slots: float,
+        memory: float,
+        is_retry: bool,
+        has_idempotency_key: bool,
+        routing_key: bytes,
+    ) -> None:
+        self.request_class = request_class
+        self.tenant = tenant
+        self.budget_s = budget_s
+        self.cost_s = cost_s
+        self.slots = slots
+        self.memory = memory
+        self.is_retry = is_retry
+        self.has_idempotency_key = has_idempotency_key
+        self.routing_key = routing_key
+
 
 def _match(pattern: re.Pattern[bytes], text: bytes, what: str) -> re.Match[bytes]:
     match = pattern.fullmatch(text)
--- a/firwalk/net/restart_messages.py
+++ b/firwalk/net/restart_messages.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
 from typing import Any, NamedTuple
 
 from firwalk.dispatcher.request_handover import HandedOverRequest, HandoverError
@@ -26,12 +25,15 @@
     """A message of a known kind lacks a part or has one of a wrong type."""
 
 
-class EndpointListState(NamedTuple):
+class EndpointListState:
     """The endpoint list of the predecessor, and the service that it came from."""
 
-    version: int
-    discovery: object
-    entries: list[tuple[Any, ...]]
+    __slots__ = ("version", "discovery", "entries")
+
+    def __init__(self, version: int, discovery: object, entries: list[tuple[Any, ...]]) -> None:
+        self.version = version
+        self.discovery = discovery
+        self.entries = entries
 
 
 class ClientRequest(NamedTuple):
@@ -44,11 +46,14 @@
     keep_alive: bool
 
 
-class Hello(NamedTuple):
+class Hello:
     """First message of a new process: it wants to take over."""
 
-    version: object = PROTOCOL_VERSION
-    continues_requests: bool = True
+    __slots__ = ("version", "continues_requests")
+
+    def __init__(self, version: object = PROTOCOL_VERSION, continues_requests: bool = True) -> None:
+        self.version = version
+        self.continues_requests = continues_requests
 
     def to_wire(self) -> WireObject:
         """The message as a JSON object."""
@@ -61,11 +66,14 @@
         return cls(wire["hello"], isinstance(abilities, list) and REQUEST_HANDOVER in abilities)
 
 
-class Refusal(NamedTuple):
+class Refusal:
     """Answer to a hello: not now (busy), or never (with a reason)."""
 
-    is_busy: bool
-    reason: str | None = None
+    __slots__ = ("is_busy", "reason")
+
+    def __init__(self, is_busy: bool, reason: str | None = None) -> None:
+        self.is_busy = is_busy
+        self.reason = reason
 
     def to_wire(self) -> WireObject:
         """The message as a JSON object."""
@@ -78,10 +86,13 @@
         return cls(bool(wire["busy"]), wire.get("why"))
 
 
-class NodeState(NamedTuple):
+class NodeState:
     """Answer to a hello: what the predecessor knows. The receiver decodes each part on its own."""
 
-    state: WireObject
+    __slots__ = ("state",)
+
+    def __init__(self, state: WireObject) -> None:
+        self.state = state
 
     @classmethod
     def of(cls, endpoint_list: EndpointListState, maintenance: WireObject) -> NodeState:
@@ -157,10 +168,13 @@
         return cls()
 
 
-class ClientHandover(NamedTuple):
+class ClientHandover:
     """A client connection between two requests; its descriptor goes beside the message."""
 
-    has_sent_request: bool
+    __slots__ = ("has_sent_request",)
+
+    def __init__(self, has_sent_request: bool) -> None:
+        self.has_sent_request = has_sent_request
 
     def to_wire(self) -> WireObject:
         """The message as a JSON object."""
@@ -172,12 +186,15 @@
         return cls(bool(wire["client"]))
 
 
-class IdleConnectionHandover(NamedTuple):
+class IdleConnectionHandover:
     """An idle connection to an executor; its descriptor goes beside the message."""
 
-    executor: str
-    idle_since: float  # on the monotonic clock, which the two processes share
-    round_trip_s: float | None
+    __slots__ = ("executor", "idle_since", "round_trip_s")
+
+    def __init__(self, executor: str, idle_since: float, round_trip_s: float | None) -> None:
+        self.executor = executor
+        self.idle_since = idle_since  # on the monotonic clock, which the two processes share
+        self.round_trip_s = round_trip_s
 
     def to_wire(self) -> WireObject:
         """The message as a JSON object."""
@@ -189,13 +206,18 @@
         return cls(wire["link"], float(wire["idle_since"]), wire["trip"])
 
 
-class RequestHandover(NamedTuple):
+class RequestHandover:
     """A request in work; the descriptors of its client and its executor go beside the message."""
 
-    request: HandedOverRequest
-    sent_at: float  # on the monotonic clock, which the two processes share
-    client_request: ClientRequest
-    response_bytes: bytes  # read from the executor so far
+    __slots__ = ("request", "sent_at", "client_request", "response_bytes")
+
+    def __init__(
+        self, request: HandedOverRequest, sent_at: float, client_request: ClientRequest, response_bytes: bytes
+    ) -> None:
+        self.request = request
+        self.sent_at = sent_at  # on the monotonic clock, which the two processes share
+        self.client_request = client_request
+        self.response_bytes = response_bytes  # read from the executor so far
 
     def to_wire(self) -> WireObject:
         """The message as a JSON object."""
@@ -224,11 +246,13 @@
         return cls(request, sent_at, client_request, response_bytes)
 
 
-@dataclass(frozen=True, slots=True)
 class DescriptorsHeld:
     """How many descriptors of the node's limit the predecessor still needs."""
 
-    count: int
+    __slots__ = ("count",)
+
+    def __init__(self, count: int) -> None:
+        self.count = count
 
     def to_wire(self) -> WireObject:
         """The message as a JSON object."""
@@ -253,13 +277,16 @@
         return cls()
 
 
-class MaintenanceCall(NamedTuple):
+class MaintenanceCall:
     """An operator detaches or attaches an executor."""
 
-    executor: str
-    detaches: bool
-    is_known: bool  # the sender has the executor on its list
-    number: object = None  # of the question; the channel sets it
+    __slots__ = ("executor", "detaches", "is_known", "number")
+
+    def __init__(self, executor: str, detaches: bool, is_known: bool, number: object = None) -> None:
+        self.executor = executor
+        self.detaches = detaches
+        self.is_known = is_known  # the sender has the executor on its list
+        self.number = number  # of the question; the channel sets it
 
     def to_wire(self) -> WireObject:
         """The message as a JSON object, to which the channel adds the number."""
@@ -271,11 +298,14 @@
         return cls(wire["out"], bool(wire["on"]), bool(wire["sure"]), wire["number"])
 
 
-class MaintenanceReply(NamedTuple):
+class MaintenanceReply:
     """The answer to a MaintenanceCall: whether the executor is known there."""
 
-    number: object
-    is_known: bool
+    __slots__ = ("number", "is_known")
+
+    def __init__(self, number: object, is_known: bool) -> None:
+        self.number = number
+        self.is_known = is_known
 
     def to_wire(self) -> WireObject:
         """The message as a JSON object."""
--- a/firwalk/stop_plan.py
+++ b/firwalk/stop_plan.py
@@ -15,7 +15,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
 LONGEST_DEADLINE_S = 3.0  # the most that counts, whatever the deployment allows
@@ -28,8 +27,7 @@
 STABLE_S = LONGEST_DEADLINE_S + KILL_MARGIN_S  # for which a replaced deadline may still time the kill
 
 
-@dataclass(frozen=True)
-class StopPlan:
+class StopPlan(NamedTuple):
     """Seconds from SIGTERM."""
 
     closing_from: float
@@ -52,11 +50,14 @@
         )
 
 
-class ReplacedDeadline(NamedTuple):
+class ReplacedDeadline:
     """The longest deadline of a configuration that is in force no more."""
 
-    replaced_at: float
-    longest_s: float
+    __slots__ = ("replaced_at", "longest_s")
+
+    def __init__(self, replaced_at: float, longest_s: float) -> None:
+        self.replaced_at = replaced_at
+        self.longest_s = longest_s
 
 
 class Deadlines:
