--- a/firwalk/__main__.py
+++ b/firwalk/__main__.py
@@ -56,7 +56,7 @@
     """At SIGHUP, or because the other process of this node was `told` so: whichever of two gets the signal,
     both read their file."""
     if not told:
-        service.succession.pass_on_reload()
+        service.hot_restart.pass_on_reload()
     _take_over(service, path, operations, monotonic() + RELOAD_PATIENCE_S)
 
 
--- a/firwalk/net/graceful_shutdown.py
+++ b/firwalk/net/graceful_shutdown.py
@@ -36,7 +36,7 @@
     clock: Callable[[], float]
     dispatcher: Dispatcher
     clients: Clients
-    succession: HotRestart
+    hot_restart: HotRestart
     listener: socket.socket
     accepting: asyncio.Task[None] | None
 
@@ -65,7 +65,7 @@
         now = monotonic()
         self.told_at = service.clients.stalls.running_until(now)
         self.plan = StopPlan.of(self.deadlines.shortest(now))
-        service.clients.ending = service.succession.after is None
+        service.clients.ending = service.hot_restart.successor is None
         self.told.set()
 
     def is_requested(self) -> bool:
@@ -100,7 +100,7 @@
         self._bound_requests()
         while monotonic() < self.told_at + self.plan.gone_by and not self._finished():
             await asyncio.sleep(POLL_INTERVAL_S)
-        if not self.service.succession.handed:
+        if not self.service.hot_restart.has_handed_over:
             self.accept_last()
 
     def _enter(self, state: ProcessState) -> None:
@@ -120,15 +120,15 @@
         final = now >= self.told_at + self.plan.answered_by
         quiet = now >= max(self.told_at + NEW_CONNECTIONS_S, clients.accepted_at + QUIET_S)
         closing = now >= self.told_at + self.plan.closing_from or quiet and not clients.open
-        clients.stopping |= closing and not service.succession.handed or final
+        clients.stopping |= closing and not service.hot_restart.has_handed_over or final
         if clients.stopping:
             self._enter(ProcessState.FINAL if final else ProcessState.DRAINING)
             if final or quiet and not clients.open or now >= self.told_at + self.plan.resting_until:
                 clients.wind_down(final)
-        if final and not service.succession.handed:
+        if final and not service.hot_restart.has_handed_over:
             self.accept_last()
-        owed = clients.open or clients.works or service.succession.sending()
-        if owed or service.succession.handed:
+        owed = clients.open or clients.works or service.hot_restart.is_sending()
+        if owed or service.hot_restart.has_handed_over:
             return not owed
         return clients.stopping and (quiet or final) and self.accept_last() and not clients.open
 
@@ -144,7 +144,7 @@
         if service.accepting is not None:
             service.accepting.cancel()
         self._admit_held()
-        if not service.succession.shares_listener():
+        if not service.hot_restart.shares_listener():
             refuse_new(service.listener)
         while True:
             try:
--- a/firwalk/net/hot_restart.py
+++ b/firwalk/net/hot_restart.py
@@ -29,7 +29,7 @@
         self.dispatcher = service.dispatcher
         self.context = RestartContext(service, self._update_limits)
         self.as_successor = SuccessorRole(self.context)
-        self.as_predecessor = PredecessorRole(self.context, lambda: self.before is not None)
+        self.as_predecessor = PredecessorRole(self.context, lambda: self.predecessor is not None)
         self.rendezvous = self._new_rendezvous()
         self.as_predecessor.rendezvous = self.rendezvous
 
@@ -47,30 +47,30 @@
     # -- state ---------------------------------------------------------------------------------------------
 
     @property
-    def before(self) -> ControlChannel | None:
+    def predecessor(self) -> ControlChannel | None:
         """The channel to the predecessor, while it lives."""
         return self.as_successor.channel
 
     @property
-    def after(self) -> ControlChannel | None:
+    def successor(self) -> ControlChannel | None:
         """The channel to the successor, while it lives."""
         return self.as_predecessor.channel
 
     @property
-    def handed(self) -> bool:
+    def has_handed_over(self) -> bool:
         """Whether the successor accepts in place of this process."""
         return self.as_predecessor.has_handed_over
 
     @property
-    def hung(self) -> bool:
+    def is_predecessor_hung(self) -> bool:
         """Whether the predecessor is there and does not hand over."""
         return self.as_successor.is_predecessor_hung
 
     def shares_listener(self) -> bool:
         """Whether another process of this node holds the listener, and may accept when this one is gone."""
-        return self.after is not None or self.before is not None
+        return self.successor is not None or self.predecessor is not None
 
-    def sending(self) -> bool:
+    def is_sending(self) -> bool:
         """Whether something is still on its way to the successor."""
         return self.as_predecessor.is_sending()
 
@@ -82,7 +82,7 @@
             return []
         return await self.as_successor.join(self.rendezvous)
 
-    async def take(self) -> None:
+    async def take_over(self) -> None:
         """Takes over: the predecessor has stopped accepting on return."""
         await self.as_successor.take_over()
 
@@ -91,7 +91,7 @@
         if self.rendezvous is not None:
             self.rendezvous.listen()
 
-    async def fresh(self, seconds: float, ending: asyncio.Event) -> None:
+    async def wait_for_endpoint_list(self, seconds: float, ending: asyncio.Event) -> None:
         """Waits for an endpoint list received since the start, for so long at most."""
         give_up_at = monotonic() + seconds
         while (
@@ -105,7 +105,7 @@
         """Ends the part of this process; its successor keeps the rendezvous path."""
         self.as_predecessor.close()
         if self.rendezvous is not None:
-            self.rendezvous.close(unlink=not self.handed)
+            self.rendezvous.close(unlink=not self.has_handed_over)
         self.context.close()
 
     # -- both processes ------------------------------------------------------------------------------------
@@ -114,18 +114,18 @@
         """Splits the node's limits between its processes."""
         files = self.service.files
         successor_descriptors = self.context.successor_descriptors()
-        if self.before is not None:
+        if self.predecessor is not None:
             held = self.as_successor.predecessor_descriptors
             own = successor_descriptors if held is None else max(files - held, successor_descriptors)
             self.service.limit(own, SHARED_MEMORY_PART)
-        elif self.after is not None:
+        elif self.successor is not None:
             self.service.limit(files - successor_descriptors, SHARED_MEMORY_PART)
         else:
             self.service.limit(files, 1.0)
 
     def pass_on_reload(self) -> None:
         """Tells the other process to read the configuration again."""
-        channel = self.before or self.after
+        channel = self.predecessor or self.successor
         if channel is not None:
             channel.send(Reload().to_wire())
 
@@ -136,7 +136,7 @@
         """
         if self.rendezvous is not None:
             self.rendezvous.save_state(self.dispatcher.maintenance.state())
-        channel = self.before or self.after
+        channel = self.predecessor or self.successor
         if channel is None:
             return known
         is_known_there = await channel.request(MaintenanceCall(name, on, known).to_wire())
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -102,7 +102,7 @@
         self.begun_at = monotonic()
         self.accepting: asyncio.Task | None = None
         self.listener: socket.socket | None = None
-        self.succession = HotRestart(self)
+        self.hot_restart = HotRestart(self)
         self.cluster = None  # `join` gives it one
 
     def join(self, operations) -> None:
@@ -134,7 +134,9 @@
     def _run_background_action(self, action: BackgroundAction) -> None:
         match action:
             case CheckHealth():
-                if not self.succession.handed:  # the process that takes the requests checks for them
+                if (
+                    not self.hot_restart.has_handed_over
+                ):  # the process that takes the requests checks for them
                     self.executors.probe(action.endpoint, action.timeout_s)
             case CloseIdleConnections():
                 self.executors.close_idle(action.endpoint)
@@ -163,7 +165,7 @@
 
     async def _take_over_or_bind(self, address: tuple[str, int]) -> None:
         """From the process before, if there is one: one that has just bound the address may answer by now."""
-        shared = await self.succession.join()
+        shared = await self.hot_restart.join()
         if shared:
             self.listener, *peers = shared
             self.listener.setblocking(False)
@@ -182,13 +184,13 @@
 
     def _bind_listener(self, address: tuple[str, int]) -> None:
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if self.succession.hung:  # beside the one that hangs; its listener allows that
+        if self.hot_restart.is_predecessor_hung:  # beside the one that hangs; its listener allows that
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self.listener.bind(address)
         if self.managed:  # only now: two nodes that know nothing of each other must not share an address
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MOST_UNREAD)  # for what it accepts
-        if self.succession.hung:
+        if self.hot_restart.is_predecessor_hung:
             self._let_in()
             steer(self.listener)
 
@@ -257,7 +259,7 @@
             return "" if self._serves() else "not yet: the list of executors has not come"
         out = word == "DETACH"
         known = self.dispatcher.detach_executor(name) if out else self.dispatcher.attach_executor(name)
-        known = await self.succession.tell(name, out, known)
+        known = await self.hot_restart.tell(name, out, known)
         if known:
             log_internal(f"operators: {name} is {'taken out' if word == 'DETACH' else 'in use again'}")
         return "" if known else "no such executor"
@@ -307,7 +309,7 @@
             self.let_go(standing)
             return
         self._accept()
-        self.succession.listen()
+        self.hot_restart.listen()
         self.dispatcher.events.record(Event.STATE, ProcessState.SERVING)
         log_internal(f"{self.config.get('name', 'node')} listens at {self.config['listen']}")
         await self.stop.told.wait()
@@ -316,16 +318,16 @@
     async def _begin(self) -> bool:
         """Waits for a fresh list and gets the node, or listens; False, and nothing done, where the process is
         told to stop meanwhile: another one of this node goes on as it was."""
-        if self.succession.before is not None:
-            await self.succession.fresh(LIST_TIME, self.stop.told)
+        if self.hot_restart.predecessor is not None:
+            await self.hot_restart.wait_for_endpoint_list(LIST_TIME, self.stop.told)
             if self.told_to_stop():
                 return False
-            await self.succession.take()
+            await self.hot_restart.take_over()
             return True
         await self._first_list()
-        if self.told_to_stop() and not self.succession.hung:
+        if self.told_to_stop() and not self.hot_restart.is_predecessor_hung:
             return False
-        if not self.succession.hung:  # beside one that hangs it listens already
+        if not self.hot_restart.is_predecessor_hung:  # beside one that hangs it listens already
             await patiently(self._open_to_clients, ADDRESS_TAKEN, self.told_to_stop)
         return True
 
@@ -336,7 +338,7 @@
         """Ends what stands by and what both processes of a node share."""
         for work in standing:
             work.cancel()
-        self.succession.close()
+        self.hot_restart.close()
         self.management.close()
 
     async def _end(self, standing: list[asyncio.Task]) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -403,7 +403,7 @@
         service = SimpleNamespace(
             clients=clients,
             listener=socket.create_server(("127.0.0.1", 0)),
-            succession=SimpleNamespace(shares_listener=lambda: False),
+            hot_restart=SimpleNamespace(shares_listener=lambda: False),
         )
         service.listener.setblocking(False)
         ends = [socket.create_connection(service.listener.getsockname()) for _ in range(5)]
