--- a/firwalk/__main__.py
+++ b/firwalk/__main__.py
@@ -96,10 +96,10 @@
     try:
         service = Service(await patiently(lambda: _load(path), SHORT_OF_RESOURCES, lambda: False))
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, service.stop.request)
+            loop.add_signal_handler(number, service.shutdown.request)
         service.reread = lambda: _reload(service, path, True, operations)
         loop.add_signal_handler(signal.SIGHUP, _reload, service, path, False, operations)
-        loop.add_signal_handler(signal.SIGUSR1, service.tell_counts)
+        loop.add_signal_handler(signal.SIGUSR1, service.log_counts)
         _stream_events(service, os.environ.get("FIRWALK_EVENTS"))
         if early_signals.take(signal.SIGHUP):
             loop.call_soon(_reload, service, path, False, operations)
--- a/firwalk/net/control_channel.py
+++ b/firwalk/net/control_channel.py
@@ -24,11 +24,10 @@
 import orjson
 
 from firwalk.net.errors import Pause
-from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
 from firwalk.net.opening import SHORT_OF_RESOURCES
 from firwalk.net.restart_messages import PROTOCOL_VERSION, WireObject
 from firwalk.net.waiting import readable
-from firwalk.observability.log import log_exception, log_external
+from firwalk.observability.log import log_external
 
 RETRY_INTERVAL_S = 0.1
 REPLY_TIMEOUT_S = 0.5
@@ -376,11 +375,3 @@
 
 def _log_unreachable(problem: OSError) -> None:
     log_external(f"no process can take over from this one: {problem}")
-
-
-def steer(listener: socket.socket) -> None:
-    """Sends all new connections to the second listener of the group: the first one's process hangs."""
-    try:
-        always_return(listener, SO_ATTACH_REUSEPORT_CBPF, 1)
-    except OSError as problem:
-        log_exception("steering new connections", problem)
--- a/firwalk/net/graceful_shutdown.py
+++ b/firwalk/net/graceful_shutdown.py
@@ -25,6 +25,7 @@
     from firwalk.dispatcher.dispatcher import Dispatcher
     from firwalk.net.clients import Clients
     from firwalk.net.hot_restart import HotRestart
+    from firwalk.net.single_process import SingleProcess
 
 POLL_INTERVAL_S = 0.01
 QUIET_S = 0.1  # without a new connection, after which none is expected any more
@@ -36,7 +37,7 @@
     clock: Callable[[], float]
     dispatcher: Dispatcher
     clients: Clients
-    hot_restart: HotRestart
+    hot_restart: HotRestart | SingleProcess
     listener: socket.socket
     accepting: asyncio.Task[None] | None
 
@@ -47,8 +48,8 @@
     def __init__(self, service: Stoppable, deadlines: Deadlines) -> None:
         self.service = service
         self.deadlines = deadlines
-        self.told = asyncio.Event()
-        self.told_at = math.inf  # when the signal was sent
+        self.requested = asyncio.Event()
+        self.requested_at = math.inf  # when the signal was sent
         self.plan = StopPlan.of(deadlines.current)
         self.state = ProcessState.SERVING
 
@@ -63,14 +64,14 @@
             return
         service = self.service
         now = monotonic()
-        self.told_at = service.clients.stalls.running_until(now)
+        self.requested_at = service.clients.stalls.running_until(now)
         self.plan = StopPlan.of(self.deadlines.shortest(now))
         service.clients.ending = service.hot_restart.successor is None
-        self.told.set()
+        self.requested.set()
 
     def is_requested(self) -> bool:
         """Whether the signal has come."""
-        return self.told_at < math.inf
+        return self.requested_at < math.inf
 
     def deadline_changed(self, longest_s: float) -> None:
         """Applies the longest deadline of a new configuration.
@@ -89,7 +90,7 @@
         """Ends requests by the time by which all are answered."""
         service = self.service
         service.dispatcher.set_shutdown_deadline(
-            service.clock() + self.told_at + self.plan.answered_by - monotonic()
+            service.clock() + self.requested_at + self.plan.answered_by - monotonic()
         )
 
     # -- the way to the end ---------------------------------------------------------------------------------
@@ -98,7 +99,7 @@
         """Serves on, then closes connections; returns when nothing is owed or no time is left."""
         self._enter(ProcessState.STOPPING)
         self._bound_requests()
-        while monotonic() < self.told_at + self.plan.gone_by and not self._finished():
+        while monotonic() < self.requested_at + self.plan.gone_by and not self._finished():
             await asyncio.sleep(POLL_INTERVAL_S)
         if not self.service.hot_restart.has_handed_over:
             self.accept_last()
@@ -117,13 +118,13 @@
         service = self.service
         clients = service.clients
         now = monotonic()
-        final = now >= self.told_at + self.plan.answered_by
-        quiet = now >= max(self.told_at + NEW_CONNECTIONS_S, clients.accepted_at + QUIET_S)
-        closing = now >= self.told_at + self.plan.closing_from or quiet and not clients.open
+        final = now >= self.requested_at + self.plan.answered_by
+        quiet = now >= max(self.requested_at + NEW_CONNECTIONS_S, clients.accepted_at + QUIET_S)
+        closing = now >= self.requested_at + self.plan.closing_from or quiet and not clients.open
         clients.stopping |= closing and not service.hot_restart.has_handed_over or final
         if clients.stopping:
             self._enter(ProcessState.FINAL if final else ProcessState.DRAINING)
-            if final or quiet and not clients.open or now >= self.told_at + self.plan.resting_until:
+            if final or quiet and not clients.open or now >= self.requested_at + self.plan.resting_until:
                 clients.wind_down(final)
         if final and not service.hot_restart.has_handed_over:
             self.accept_last()
--- a/firwalk/net/hot_restart.py
+++ b/firwalk/net/hot_restart.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 import socket
 from time import monotonic
 
@@ -22,23 +21,22 @@
 
 
 class HotRestart:
-    """One process's part in the replacement of a process by another."""
+    """One process's part in the replacement of a process by another.
 
-    def __init__(self, service: RestartableService) -> None:
+    The two processes find each other in `folder`; without one this process has neither neighbour.
+    """
+
+    def __init__(self, service: RestartableService, folder: str | None = None) -> None:
         self.service = service
         self.dispatcher = service.dispatcher
         self.context = RestartContext(service, self._update_limits)
         self.as_successor = SuccessorRole(self.context)
         self.as_predecessor = PredecessorRole(self.context, lambda: self.predecessor is not None)
-        self.rendezvous = self._new_rendezvous()
+        self.rendezvous = self._new_rendezvous(folder) if folder is not None else None
         self.as_predecessor.rendezvous = self.rendezvous
 
-    def _new_rendezvous(self) -> RendezvousSocket | None:
-        """The node's meeting point; None where it has no management address or no directory for one."""
+    def _new_rendezvous(self, folder: str) -> RendezvousSocket:
         config = self.service.config
-        folder = os.environ.get("TMPDIR")
-        if not self.service.managed or not folder or not os.path.isdir(folder):
-            return None
         return RendezvousSocket(folder, str(config.get("name", "")), config["listen"], self._accept_channel)
 
     def _accept_channel(self, channel: ControlChannel) -> None:
--- a/firwalk/net/management.py
+++ b/firwalk/net/management.py
@@ -1,7 +1,7 @@
-"""The second address, for operators alone: one line to a connection, one line back, and the close.
+"""The management address, for operators: one command line to a connection, one reply line, and the close.
 
-It has descriptors of its own. Callers that say nothing, or half a call, go after a while, or as soon as
-their place is wanted; a whole call never waits, since it is answered when it is read.
+It has descriptors of its own. A caller that sends nothing, or half a line, is disconnected after a while, or
+as soon as its place is needed; a complete command never waits, since it is carried out as it is read.
 """
 
 from __future__ import annotations
@@ -10,138 +10,180 @@
 import re
 import socket
 from collections.abc import Awaitable, Callable
+from functools import partial
 
 from firwalk.net.address import new_socket
 from firwalk.net.errors import Pause, concerns_connection
 from firwalk.observability.log import log_exception, log_external
 
-SILENT_TIME = 5.0  # seconds in which a call must be whole
-LONGEST = 256  # bytes of a call
-BACKLOG = 128
-MOST = 24  # callers at a time
-LEAST = 4  # of these where descriptors are few
-PART = 16  # of the descriptors, one in so many
-WORD = re.compile(rb"[!-~]+")
+COMMAND_TIMEOUT_S = 5.0  # in which a command must be complete
+MAX_COMMAND_BYTES = 256
+READ_SIZE_BYTES = 4096
+LISTEN_BACKLOG = 128
+MAX_CALLERS = 24
+MIN_CALLERS = 4
+DESCRIPTORS_PER_CALLER = 16  # of the node's limit
+WORD_PATTERN = re.compile(rb"[!-~]+")
+COMMANDS = ("PING", "DETACH", "ATTACH")
 
+# What a command comes to: the text of its reply, and what is wrong, one of them empty.
+Reply = tuple[str, str]
 
-def places(descriptors: int) -> int:
-    """How many descriptors are kept for callers."""
-    return min(max(descriptors // PART, LEAST), MOST)
+
+class BadCommand(Exception):
+    """What a caller sent is no command; the text is the reply."""
+
+
+def max_callers(descriptors: int) -> int:
+    """How many descriptors of the node's limit are kept for callers."""
+    return min(max(descriptors // DESCRIPTORS_PER_CALLER, MIN_CALLERS), MAX_CALLERS)
 
 
 class Management:
-    """`act(word, id)` carries out a call that is well formed and gives a reason if it cannot."""
-
-    def __init__(self, most: int, act: Callable[[str, str], Awaitable[str]]):
-        self.most, self.act = most, act
-        # Further calls, word for word, and what each comes to: what is told, or what is wrong.
-        self.more: dict[str, Callable[[], Awaitable[tuple[str, str]]]] = {}
-        # The same with something behind the words, which is handed over.
-        self.more_with: dict[str, Callable[[str], Awaitable[tuple[str, str]]]] = {}
-        self.open: dict[asyncio.Task, None] = {}  # the one that has been there longest first
+    """The listener at the management address, and its callers.
+
+    `run_command(command, executor)` carries out a well-formed command and returns why it cannot, or "".
+    """
+
+    def __init__(self, max_open: int, run_command: Callable[..., Awaitable[str]]) -> None:
+        self.max_open = max_open
+        self.run_command = run_command
+        # Further commands, by their whole line.
+        self.more: dict[str, Callable[[], Awaitable[Reply]]] = {}
+        # Further commands with an argument, by the start of their line; the rest is the argument.
+        self.more_with: dict[str, Callable[[str], Awaitable[Reply]]] = {}
+        self.open: dict[asyncio.Task[None], None] = {}  # callers, the oldest first
         self.listener: socket.socket | None = None
-        self.accepting: asyncio.Task | None = None
+        self.accepting: asyncio.Task[None] | None = None
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """OSError, and nothing is left open."""
+        """Listens at the address. Raises OSError, with nothing left open."""
         listener = new_socket(address)
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.bind(address)
-            listener.listen(BACKLOG)
+            listener.listen(LISTEN_BACKLOG)
         except OSError:
             listener.close()
             raise
         self.listener = listener
-        self.accepting = asyncio.get_running_loop().create_task(self._accept())
+        self.accepting = asyncio.get_running_loop().create_task(self._accept(listener))
 
-    async def _accept(self) -> None:
-        loop, pause = asyncio.get_running_loop(), Pause()
+    async def _accept(self, listener: socket.socket) -> None:
+        loop = asyncio.get_running_loop()
+        pause = Pause()
         while True:
             try:
-                sock, _ = await loop.sock_accept(self.listener)
+                sock, _ = await loop.sock_accept(listener)
             except OSError as problem:
                 log_external(f"no operator's call accepted: {problem}")
                 await asyncio.sleep(0.0 if concerns_connection(problem) else pause.next())
                 continue
             pause.over()
             sock.setblocking(False)
-            while len(self.open) >= self.most:
-                oldest = next(iter(self.open))
-                oldest.cancel()
-                self.open.pop(oldest)
-                await asyncio.sleep(0)  # its descriptor is given back before this one is counted
-            caller = loop.create_task(self._attend(sock))
+            await self._make_room()
+            caller = loop.create_task(self._serve(sock))
             self.open[caller] = None
-            caller.add_done_callback(lambda _, sock=sock, caller=caller: self._over(caller, sock))
+            caller.add_done_callback(partial(self._forget, sock))
 
-    def _over(self, caller: asyncio.Task, sock: socket.socket) -> None:
+    async def _make_room(self) -> None:
+        """Disconnects the oldest callers until there is room for one more."""
+        while len(self.open) >= self.max_open:
+            oldest = next(iter(self.open))
+            oldest.cancel()
+            self.open.pop(oldest)
+            await asyncio.sleep(0)  # its descriptor is released before the next one is counted
+
+    def _forget(self, sock: socket.socket, caller: asyncio.Task[None]) -> None:
         self.open.pop(caller, None)
         sock.close()
 
-    async def _attend(self, sock: socket.socket) -> None:
+    async def _serve(self, sock: socket.socket) -> None:
+        """Reads one command, carries it out and replies."""
         loop = asyncio.get_running_loop()
         try:
-            line, complaint = await self._call(loop, sock)
-            if line is not None or complaint:
-                told, complaint = ("", complaint) if complaint else await self._answer(line)
-                await loop.sock_sendall(
-                    sock,
-                    f"-ERR {complaint}\n".encode() if complaint else f"+OK {told}".rstrip().encode() + b"\n",
-                )
-                sock.shutdown(socket.SHUT_WR)
-                while len(sock.recv(4096)) == 4096:  # unread bytes at the close would take the answer along
-                    pass
+            reply = await self._reply(loop, sock)
+            if reply is None:
+                return
+            await loop.sock_sendall(sock, reply)
+            sock.shutdown(socket.SHUT_WR)
+            while len(sock.recv(READ_SIZE_BYTES)) == READ_SIZE_BYTES:
+                pass  # a close with unread bytes would reset the connection, and lose the reply
         except OSError:
-            pass  # it left, or what it sent is read up
+            pass  # the caller left, or all that it sent is read
         except Exception as problem:
             log_exception("attending to an operator's call", problem)
 
-    async def _call(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> tuple[bytes | None, str]:
-        """The line, or what is wrong with what came instead; neither: it left without a word."""
-        text = b""
+    async def _reply(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> bytes | None:
+        """The reply line to a caller's command; None if it left without one."""
         try:
-            async with asyncio.timeout(SILENT_TIME):
-                while b"\n" not in text and len(text) <= LONGEST:
-                    part = await loop.sock_recv(sock, LONGEST + 1)
-                    if not part:
-                        return None, "a line without end" if text else ""
-                    text += part
-        except TimeoutError:
-            return None, "a line without end" if text else "no call came"
-        line, _, more = text.partition(b"\n")
-        if len(line) > LONGEST:
-            return None, "a line over the limit"
-        return (None, "one call to a connection") if more else (line.removesuffix(b"\r"), "")
-
-    async def _answer(self, line: bytes) -> tuple[str, str]:
-        """What is told, or what is wrong."""
-        words = line.split(b" ")
+            line = await _read_command(loop, sock)
+            if line is None:
+                return None
+            text, fault = await self._run(line)
+        except BadCommand as problem:
+            text, fault = "", str(problem)
+        if fault:
+            return f"-ERR {fault}\n".encode()
+        return f"+OK {text}".rstrip().encode() + b"\n"
+
+    async def _run(self, line: bytes) -> Reply:
+        """Carries out a command; raises BadCommand."""
         text = line.decode("latin-1")
-        told = self.more.get(text)
-        if told is not None:
-            return await told()
-        for start, act in self.more_with.items():
+        command = self.more.get(text)
+        if command is not None:
+            return await command()
+        for start, command_with_argument in self.more_with.items():
             if text.startswith(start) and len(text) > len(start) and text.isprintable():
-                return await act(text[len(start) :])
-        return "", await self._carried_out(line, words)
-
-    async def _carried_out(self, line: bytes, words: list[bytes]) -> str:
-        if not line.strip():
-            return "an empty line; calls are PING, DETACH ID, ATTACH ID"
-        if not all(WORD.fullmatch(word) for word in words):
-            return "words of plain text, one space between them"
-        word, *rest = (part.decode() for part in words)
-        if word not in ("PING", "DETACH", "ATTACH"):
-            return "no such call; calls are PING, DETACH ID, ATTACH ID"
-        if len(rest) != (word != "PING"):
-            return "PING stands alone" if word == "PING" else f"{word} takes one id"
-        return await self.act(word, *rest)
+                return await command_with_argument(text[len(start) :])
+        return "", await self.run_command(*_parse(line))
 
     def close(self) -> None:
+        """Stops listening, and disconnects all callers."""
         if self.accepting is not None:
             self.accepting.cancel()
         for caller in list(self.open):
             caller.cancel()
         if self.listener is not None:
             self.listener.close()
+
+
+async def _read_command(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> bytes | None:
+    """The one line that a caller sends; None if it leaves without a byte. Raises BadCommand."""
+    data = b""
+    try:
+        async with asyncio.timeout(COMMAND_TIMEOUT_S):
+            while b"\n" not in data and len(data) <= MAX_COMMAND_BYTES:
+                part = await loop.sock_recv(sock, MAX_COMMAND_BYTES + 1)
+                if not part and not data:
+                    return None
+                if not part:
+                    raise BadCommand("a line without end")
+                data += part
+    except TimeoutError:
+        raise BadCommand("a line without end" if data else "no call came") from None
+    return _single_line(data)
+
+
+def _single_line(data: bytes) -> bytes:
+    line, _, rest = data.partition(b"\n")
+    if len(line) > MAX_COMMAND_BYTES:
+        raise BadCommand("a line over the limit")
+    if rest:
+        raise BadCommand("one call to a connection")
+    return line.removesuffix(b"\r")
+
+
+def _parse(line: bytes) -> list[str]:
+    """The words of a command: its name and, except for a PING, an executor. Raises BadCommand."""
+    words = line.split(b" ")
+    if not line.strip():
+        raise BadCommand("an empty line; calls are PING, DETACH ID, ATTACH ID")
+    if not all(WORD_PATTERN.fullmatch(word) for word in words):
+        raise BadCommand("words of plain text, one space between them")
+    name, *arguments = (word.decode() for word in words)
+    if name not in COMMANDS:
+        raise BadCommand("no such call; calls are PING, DETACH ID, ATTACH ID")
+    if len(arguments) != (name != "PING"):
+        raise BadCommand("PING stands alone" if name == "PING" else f"{name} takes one id")
+    return [name, *arguments]
--- a/firwalk/net/service.py
+++ b/firwalk/net/service.py
@@ -1,15 +1,17 @@
-"""One node on its sockets: puts the parts together, keeps time for the decisions, and ends in good order."""
+"""One node on its sockets: builds its parts, runs the dispatcher's timers, and leads it from start to end."""
 
 from __future__ import annotations
 
 import asyncio
+import os
 import resource
 import socket
 from collections.abc import Callable
 from math import inf
 from time import monotonic, time
+from typing import TYPE_CHECKING, Any
 
-from firwalk.config.node_config import longest_deadline, needs_restart, validate_reload
+from firwalk.config.node_config import JsonObject, longest_deadline, needs_restart, validate_reload
 from firwalk.dispatcher.actions import (
     BackgroundAction,
     CheckHealth,
@@ -25,88 +27,132 @@
 from firwalk.net.budget import Budget
 from firwalk.net.buffers import Buffers
 from firwalk.net.clients import Clients
-from firwalk.net.control_channel import steer
 from firwalk.net.executors import Executors
+from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
 from firwalk.net.graceful_shutdown import GracefulShutdown
-from firwalk.net.hot_restart import HotRestart
-from firwalk.net.management import Management, places
+from firwalk.net.management import Management, max_callers
 from firwalk.net.opening import ADDRESS_TAKEN, SHORT_OF_RESOURCES, ToldToStop, patiently
 from firwalk.net.peers import Peers
+from firwalk.net.single_process import SingleProcess
 from firwalk.net.turns import Turns
 from firwalk.observability.events import Event, ProcessState
 from firwalk.observability.log import log_exception, log_external, log_internal
 from firwalk.stop_plan import Deadlines
 
-BACKLOG = 1024
-MOST_UNREAD = 1 << 16  # bytes of a client that wait unread with the machine, which may charge them to us
-LIST_TIME = 2.0  # seconds that the first yes waits for a fresh list
+if TYPE_CHECKING:
+    from firwalk.config.operations import OperationsConfig
+    from firwalk.net.cluster import Cluster
+    from firwalk.net.hot_restart import HotRestart
+
+MICRO = 1e-6
+BYTES_PER_MB = 1e6
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
+DEFAULT_IDLE_CLOSE_US = 60_000_000
+LISTEN_BACKLOG = 1024
+# Of an accepted connection: the kernel may charge unread bytes to this process.
+RECEIVE_BUFFER_BYTES = 1 << 16
+SECOND_LISTENER = 1  # the index of the second of the listeners that share a port
+LIST_TIMEOUT_S = 2.0  # for a fresh endpoint list at the start
+LIST_POLL_INTERVAL_S = 0.01
+MIN_TIMER_DELAY_S = 0.0005
+SWEEP_INTERVAL_S = 1.0
+EMPTY_LIST = {"generation": 0, "instances": []}
+
+Address = tuple[str, int]
 
 
 class Clock:
-    """Seconds since 1970, going on evenly from the start: a jump of the system's clock moves no timer."""
+    """Seconds since 1970 that go on evenly from the start: a jump of the system's clock moves no timer."""
 
     def __init__(self) -> None:
         self.base = time() - monotonic()
 
     def __call__(self) -> float:
+        """The time now."""
         return self.base + monotonic()
 
 
 class Service:
-    def __init__(self, config: dict):
-        settings, limits = config["settings"], config.get("limits", {})
-        self.config, self.clock = config, Clock()
+    """One process of a node."""
+
+    listener: socket.socket  # set by `open`
+
+    def __init__(self, config: JsonObject) -> None:
+        settings = config["settings"]
+        limits = config.get("limits", {})
+        self.config = config
+        self.clock: Callable[[], float] = Clock()
         self.loop = asyncio.get_running_loop()
+        self.loop.set_exception_handler(_log_loop_exception)
         self.turns = Turns(self.loop, self._turn)
-        self.loop.set_exception_handler(
-            lambda _, about: log_exception(
-                about.get("message", "running"), about.get("exception") or RuntimeError("unknown")
-            )
-        )
         self.dispatcher = Dispatcher(
             settings, int(str(config.get("seed", "0")), 16), self.clock, self.turns.soon
         )
-        files = min(int(limits.get("sockets", 1024)), resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        self.files = min(
+            int(limits.get("sockets", DEFAULT_SOCKETS)), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        )
+        self.memory = int(limits.get("memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB)
         self.managed = bool(config.get("management"))
-        callers = places(files) if self.managed else 0
-        self.management = Management(callers, self._call)
-        self.files, self.memory = files, int(limits.get("memory_mb", 192) * 1e6)
-        self.budget = Budget(files, self.memory, callers + self.managed)
+        caller_count = max_callers(self.files) if self.managed else 0
+        self.management = Management(caller_count, self._run_command)
+        self.budget = Budget(self.files, self.memory, caller_count + self.managed)
         self.buffers = Buffers()
-        allowed = settings.get("limits", {})
-        self.executors = Executors(
-            self.dispatcher,
-            self.budget,
-            self.buffers,
-            allowed.get("connect-timeout-us", 1000000) * 1e-6,
-            allowed.get("idle-close-us", 60000000) * 1e-6,
-            self.dispatcher.events,
-        )
+        self.executors = self._new_executors(settings.get("limits", {}))
         self.clients = Clients(
             self.dispatcher, self.executors, self.budget, self.buffers, self.dispatcher.monitor
         )
         self.discovery = discovery.Discovery(self.dispatcher, self.buffers, parse(config["discovery"]))
-        to_all = config.get("peers_all")
-        self.peers = Peers(
+        self.peers = self._new_peers()
+        self._apply_known_list()
+        self.opened_at = self.clock()  # a list received later is fresh
+        self.shutdown = GracefulShutdown(self, Deadlines(longest_deadline(settings)))
+        self.reread: Callable[[], None] = lambda: None  # reads the configuration file again
+        self.begun_at = monotonic()
+        self.accepting: asyncio.Task[None] | None = None
+        self.hot_restart: HotRestart | SingleProcess = SingleProcess()  # `open` may replace it
+        self.cluster: Cluster | None = None  # `join` sets it
+
+    # -- parts ---------------------------------------------------------------------------------------------
+
+    def _new_executors(self, limits: JsonObject) -> Executors:
+        return Executors(
             self.dispatcher,
-            [parse(text) for text in config.get("peers", [])],
-            parse(to_all) if to_all else None,
+            self.budget,
+            self.buffers,
+            limits.get("connect-timeout-us", DEFAULT_CONNECT_TIMEOUT_US) * MICRO,
+            limits.get("idle-close-us", DEFAULT_IDLE_CLOSE_US) * MICRO,
+            self.dispatcher.events,
         )
-        known = config.get("known")
+
+    def _new_peers(self) -> Peers:
+        addresses = [parse(text) for text in self.config.get("peers", [])]
+        to_all = self.config.get("peers_all")
+        return Peers(self.dispatcher, addresses, parse(to_all) if to_all else None)
+
+    def _apply_known_list(self) -> None:
+        """Applies the endpoint list in the configuration, if there is one."""
+        known = self.config.get("known")
         if known:
             update = listing.read(known)
             self.dispatcher.report_list(update.version, True, update.entries)
-        self.opened_at = self.clock()
-        self.stop = GracefulShutdown(self, Deadlines(longest_deadline(settings)))
-        self.reread: Callable[[], None] = lambda: None  # reads the file of the configuration again
-        self.begun_at = monotonic()
-        self.accepting: asyncio.Task | None = None
-        self.listener: socket.socket | None = None
-        self.hot_restart = HotRestart(self)
-        self.cluster = None  # `join` gives it one
 
-    def join(self, operations) -> None:
-        """Acts together with other nodes from the time on at which it serves; by the operators' file only."""
+    def _new_hot_restart(self) -> HotRestart | SingleProcess:
+        """The hot restart of this node; without a management address or a directory there is none.
+
+        It is loaded only where it is needed, since its modules slow the start. All of it is loaded by then:
+        when a successor comes, an upgrade may have replaced the files that this process was started from.
+        """
+        folder = os.environ.get("TMPDIR")
+        if not self.managed or not folder or not os.path.isdir(folder):
+            return SingleProcess()
+        from firwalk.net.hot_restart import HotRestart
+
+        return HotRestart(self, folder)
+
+    def join(self, operations: OperationsConfig) -> None:
+        """Makes the node a member of the cluster once it serves; called with an operators' file only."""
         from firwalk.net.cluster import Cluster
 
         self.cluster = self.peers.cluster = Cluster(
@@ -117,26 +163,26 @@
         self.management.more |= self.cluster.calls()
         self.management.more_with |= self.cluster.calls_with()
 
-    # -- time --------------------------------------------------------------------------------------------
+    # -- timers and background actions ---------------------------------------------------------------------
 
     def _turn(self) -> None:
+        """Runs the dispatcher's due timers, and what they ask for."""
+        background_actions: list[BackgroundAction] = []
         try:
-            when, background_actions = self.dispatcher.run_due_timers()
+            next_at, background_actions = self.dispatcher.run_due_timers()
         except Exception as problem:
             log_exception("running timers", problem)
-            when = self.clock()
-            background_actions = []
-        if when != float("inf"):
-            self.turns.after(max(when - self.clock(), 0.0005))
+            next_at = self.clock()
+        if next_at != inf:
+            self.turns.after(max(next_at - self.clock(), MIN_TIMER_DELAY_S))
         for action in background_actions:
             self._run_background_action(action)
 
     def _run_background_action(self, action: BackgroundAction) -> None:
         match action:
             case CheckHealth():
-                if (
-                    not self.hot_restart.has_handed_over
-                ):  # the process that takes the requests checks for them
+                # After the handover the successor does the health checks.
+                if not self.hot_restart.has_handed_over:
                     self.executors.probe(action.endpoint, action.timeout_s)
             case CloseIdleConnections():
                 self.executors.close_idle(action.endpoint)
@@ -151,20 +197,25 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(1.0)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.executors.sweep()
 
-    # -- from start to end ---------------------------------------------------------------------------------
+    # -- opening sockets -----------------------------------------------------------------------------------
 
     async def open(self) -> None:
+        """Binds the node's addresses, or gets its sockets from the predecessor.
+
+        Raises OSError if an address cannot be had, ToldToStop if the process is told to stop meanwhile.
+        """
+        self.hot_restart = self._new_hot_restart()
         address = parse(self.config["listen"])
         management = parse(self.config["management"]) if self.managed else None
         await patiently(lambda: self._take_over_or_bind(address), ADDRESS_TAKEN, self.told_to_stop)
         if management is not None:
             await patiently(lambda: self.management.listen(management), SHORT_OF_RESOURCES, self.told_to_stop)
 
-    async def _take_over_or_bind(self, address: tuple[str, int]) -> None:
-        """From the process before, if there is one: one that has just bound the address may answer by now."""
+    async def _take_over_or_bind(self, address: Address) -> None:
+        """Asks the predecessor at each attempt: a process that has just bound the address may answer now."""
         shared = await self.hot_restart.join()
         if shared:
             self.listener, *peers = shared
@@ -172,9 +223,9 @@
             self.peers.sock = peers[0] if peers else None
         else:
             self._bind(address)
-            self._hear_peers()
+            self._bind_peers()
 
-    def _bind(self, address: tuple[str, int]) -> None:
+    def _bind(self, address: Address) -> None:
         self.listener = new_socket(address)
         try:
             self._bind_listener(address)
@@ -182,70 +233,69 @@
             self.listener.close()
             raise
 
-    def _bind_listener(self, address: tuple[str, int]) -> None:
+    def _bind_listener(self, address: Address) -> None:
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if self.hot_restart.is_predecessor_hung:  # beside the one that hangs; its listener allows that
+        if self.hot_restart.is_predecessor_hung:  # its listener allows another one beside it
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self.listener.bind(address)
-        if self.managed:  # only now: two nodes that know nothing of each other must not share an address
+        if self.managed:  # set only now: two nodes that do not know each other must not share an address
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MOST_UNREAD)  # for what it accepts
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         if self.hot_restart.is_predecessor_hung:
-            self._let_in()
-            steer(self.listener)
-
-    async def _first_list(self) -> None:
-        """What the configuration says of executors may be long out of date: a node that came back with its
-        zone sent on to executors that were gone since. With the service down, or busy, it has to do."""
-        end = monotonic() + LIST_TIME
-        while (
-            monotonic() < end
-            and self.dispatcher.is_awaiting_endpoint_list(self.opened_at)
-            and not self.told_to_stop()
-        ):
-            await asyncio.sleep(0.01)
+            self._listen()
+            _steer_to_second_listener(self.listener)
 
-    def _let_in(self) -> None:
-        self.listener.listen(BACKLOG)
+    def _listen(self) -> None:
+        self.listener.listen(LISTEN_BACKLOG)
 
-    def _hear_peers(self) -> None:
-        if self.config.get("peer_listen") and self.config["settings"].get("limits", {}).get("peers"):
-            try:
-                self.peers.bind(parse(self.config["peer_listen"]))
-            except OSError as problem:  # their warnings help, but no rule rests on them
-                log_internal(f"other nodes cannot be heard: {problem}")
+    def _bind_peers(self) -> None:
+        allows_gossip = self.config["settings"].get("limits", {}).get("peers")
+        if not self.config.get("peer_listen") or not allows_gossip:
+            return
+        try:
+            self.peers.bind(parse(self.config["peer_listen"]))
+        except OSError as problem:  # gossip helps, but no guarantee rests on it
+            log_internal(f"other nodes cannot be heard: {problem}")
 
-    # -- two processes as one node -------------------------------------------------------------------------
+    # -- hot restart: what its roles use -------------------------------------------------------------------
 
     def shared(self) -> list[socket.socket]:
-        """What both processes hold."""
+        """The sockets that both processes hold."""
         return [self.listener] + ([self.peers.sock] if self.peers.sock is not None else [])
 
     def limit(self, descriptors: int, part: float) -> None:
+        """Sets the limit of descriptors, and the part of the node's memory that this process may use."""
         self.budget.limit(descriptors, int(self.memory * part))
 
     def stop_accepting(self) -> list[socket.socket]:
-        """The other process accepts; what was accepted and not let in yet goes to it."""
+        """Stops accepting; returns the connections that were accepted and not admitted yet."""
+        assert self.accepting is not None, "a process is replaced only while it serves"
         self.accepting.cancel()
         if self.cluster is not None:
             self.cluster.stop()
         self.peers.close()
-        held, self.clients.held = self.clients.held, None
+        held = self.clients.held
+        self.clients.held = None
         return [held] if held is not None else []
 
     def accept_again(self) -> None:
+        """Accepts again, after the other process is gone."""
         if not self.clients.stopping:
             self._accept()
 
     def told_to_stop(self) -> bool:
-        return self.stop.told.is_set()
+        """Whether this process is shutting down."""
+        return self.shutdown.requested.is_set()
+
+    # -- serving -------------------------------------------------------------------------------------------
 
     def _accept(self) -> None:
         self.accepting = self.loop.create_task(self.clients.accept(self.listener))
         if self.peers.sock is not None:
-            self.clients.keep(self.loop.create_task(self._speak()))
+            self.clients.keep(self.loop.create_task(self._open_peers()))
 
-    async def _speak(self) -> None:
+    async def _open_peers(self) -> None:
+        """Exchanges datagrams with other nodes from now on."""
         try:
             await patiently(self.peers.open, SHORT_OF_RESOURCES, self.told_to_stop, inf)
         except ToldToStop:
@@ -253,107 +303,140 @@
         if self.cluster is not None:
             self.cluster.start()
 
-    async def _call(self, word: str, name: str = "") -> str:
-        """Carries out an operator's call; the reason, if it cannot be."""
-        if word == "PING":
-            return "" if self._serves() else "not yet: the list of executors has not come"
-        out = word == "DETACH"
-        known = self.dispatcher.detach_executor(name) if out else self.dispatcher.attach_executor(name)
-        known = await self.hot_restart.tell(name, out, known)
-        if known:
-            log_internal(f"operators: {name} is {'taken out' if word == 'DETACH' else 'in use again'}")
-        return "" if known else "no such executor"
-
-    def _serves(self) -> bool:
-        """It takes clients and knows its executors: by a fresh list, or, if none comes, by the one kept."""
-        if self.accepting is None:
-            return False
-        return self.dispatcher.list_received_at > self.opened_at or monotonic() > self.begun_at + LIST_TIME
-
-    def reload(self, config: object) -> None:
-        """Takes over what can change live. All is read before anything is changed: half a configuration is
-        worse than the old one."""
-        validate_reload(self.config, config)
-        address = parse(config["discovery"])
-        listing.read(config.get("known") or {"generation": 0, "instances": []})
-        fixed = needs_restart(self.config, config)
-        self.stop.deadline_changed(longest_deadline(config["settings"]))
-        if self.told_to_stop():
-            log_internal("a new configuration comes too late: the node ends")
-            return
-        if config["settings"] != self.dispatcher.settings:
-            self.dispatcher.report_settings(config["settings"])
-        self.discovery.move(address)
-        self.config = self.config | {word: config[word] for word in ("discovery", "tag") if word in config}
-        self.dispatcher.events.record(Event.STATE, ProcessState.RELOADED)
-        log_internal(
-            f"reloaded; the list's service is {config['discovery']}; offerings:"
-            f" {', '.join(map(str, self.dispatcher.request_classes))}"
-        )
-        if fixed:
-            log_internal(f"changes that need a restart: {', '.join(fixed)}")
-
     async def run(self) -> None:
-        standing = [
+        """Serves until the process is told to stop, and shuts down."""
+        tasks = [
             self.loop.create_task(self.clients.sweep()),
             self.loop.create_task(self._sweep()),
             self.loop.create_task(self.clients.stalls.run()),
         ]
         self.turns.soon()
         try:
-            begun = await self._begin()
+            has_begun = await self._begin()
         except ToldToStop:
-            begun = False
-        if not begun:
+            has_begun = False
+        if not has_begun:
             log_internal("told to end before it served: nothing was taken")
-            self.let_go(standing)
+            self._close(tasks)
             return
         self._accept()
         self.hot_restart.listen()
         self.dispatcher.events.record(Event.STATE, ProcessState.SERVING)
         log_internal(f"{self.config.get('name', 'node')} listens at {self.config['listen']}")
-        await self.stop.told.wait()
-        await self._end(standing)
+        await self.shutdown.requested.wait()
+        await self._shut_down(tasks)
 
     async def _begin(self) -> bool:
-        """Waits for a fresh list and gets the node, or listens; False, and nothing done, where the process is
-        told to stop meanwhile: another one of this node goes on as it was."""
+        """Waits for a fresh endpoint list, and takes over from the predecessor or listens.
+
+        False, with nothing done, if the process is told to stop meanwhile: a predecessor goes on as it was.
+        """
         if self.hot_restart.predecessor is not None:
-            await self.hot_restart.wait_for_endpoint_list(LIST_TIME, self.stop.told)
+            await self.hot_restart.wait_for_endpoint_list(LIST_TIMEOUT_S, self.shutdown.requested)
             if self.told_to_stop():
                 return False
             await self.hot_restart.take_over()
             return True
-        await self._first_list()
-        if self.told_to_stop() and not self.hot_restart.is_predecessor_hung:
+        await self._wait_for_endpoint_list()
+        if self.hot_restart.is_predecessor_hung:  # this process listens beside it already
+            return True
+        if self.told_to_stop():
             return False
-        if not self.hot_restart.is_predecessor_hung:  # beside one that hangs it listens already
-            await patiently(self._open_to_clients, ADDRESS_TAKEN, self.told_to_stop)
+        await patiently(self._open_to_clients, ADDRESS_TAKEN, self.told_to_stop)
         return True
 
+    async def _wait_for_endpoint_list(self) -> None:
+        """Waits for a fresh endpoint list; if discovery is down or busy, the known list must do.
+
+        The known list may be long out of date: a node that came back together with its zone forwarded
+        requests to executors that no longer existed.
+        """
+        give_up_at = monotonic() + LIST_TIMEOUT_S
+        while (
+            monotonic() < give_up_at
+            and self.dispatcher.is_awaiting_endpoint_list(self.opened_at)
+            and not self.told_to_stop()
+        ):
+            await asyncio.sleep(LIST_POLL_INTERVAL_S)
+
     async def _open_to_clients(self) -> None:
-        self._let_in()
+        self._listen()
+
+    # -- operators -----------------------------------------------------------------------------------------
+
+    async def _run_command(self, command: str, executor: str = "") -> str:
+        """Carries out an operator's command; returns why it cannot be, empty if it was."""
+        if command == "PING":
+            return "" if self._is_ready() else "not yet: the list of executors has not come"
+        detaches = command == "DETACH"
+        change = self.dispatcher.detach_executor if detaches else self.dispatcher.attach_executor
+        is_known = await self.hot_restart.tell(executor, detaches, change(executor))
+        if not is_known:
+            return "no such executor"
+        log_internal(f"operators: {executor} is {'taken out' if detaches else 'in use again'}")
+        return ""
+
+    def _is_ready(self) -> bool:
+        """Whether it accepts clients, with a fresh endpoint list or after the wait for one."""
+        if self.accepting is None:
+            return False
+        has_fresh_list = self.dispatcher.list_received_at > self.opened_at
+        return has_fresh_list or monotonic() > self.begun_at + LIST_TIMEOUT_S
 
-    def let_go(self, standing: list[asyncio.Task]) -> None:
-        """Ends what stands by and what both processes of a node share."""
-        for work in standing:
-            work.cancel()
-        self.hot_restart.close()
-        self.management.close()
+    def reload(self, config: Any) -> None:
+        """Applies what can change while the node runs; raises before anything changes if a part is bad."""
+        validate_reload(self.config, config)
+        discovery_address = parse(config["discovery"])
+        listing.read(config.get("known") or EMPTY_LIST)
+        not_applied = needs_restart(self.config, config)
+        self.shutdown.deadline_changed(longest_deadline(config["settings"]))
+        if self.told_to_stop():
+            log_internal("a new configuration comes too late: the node ends")
+            return
+        if config["settings"] != self.dispatcher.settings:
+            self.dispatcher.report_settings(config["settings"])
+        self.discovery.move(discovery_address)
+        self.config = self.config | {key: config[key] for key in ("discovery", "tag") if key in config}
+        self.dispatcher.events.record(Event.STATE, ProcessState.RELOADED)
+        request_classes = ", ".join(map(str, self.dispatcher.request_classes))
+        log_internal(f"reloaded; the list's service is {config['discovery']}; offerings: {request_classes}")
+        if not_applied:
+            log_internal(f"changes that need a restart: {', '.join(not_applied)}")
+
+    def log_counts(self) -> None:
+        """Logs the counts of events by reason, and how often an invariant was violated."""
+        log_internal(f"counts: {self.dispatcher.events.summary()}")
+        log_internal(f"rules seen broken: {sum(self.dispatcher.monitor.violations.values())}")
 
-    async def _end(self, standing: list[asyncio.Task]) -> None:
-        """Answers all that was taken, in the time that is left, and lets go of everything."""
+    # -- shutdown ------------------------------------------------------------------------------------------
+
+    async def _shut_down(self, tasks: list[asyncio.Task[None]]) -> None:
+        """Answers all accepted requests in the time that is left, and closes everything."""
         log_internal("told to end")
         if self.cluster is not None:
             self.cluster.leave()
-        await self.stop.run()
-        self.let_go(standing)
+        await self.shutdown.run()
+        self._close(tasks)
         self.clients.check_stopped()
         self.dispatcher.events.record(Event.STATE, ProcessState.STOPPED)
         log_internal(f"ended, {len(self.clients.open)} clients left; {self.clients.malformed} were sent away")
-        self.tell_counts()
+        self.log_counts()
 
-    def tell_counts(self) -> None:
-        """What happened so far, by reason, and how often a rule was seen broken."""
-        log_internal(f"counts: {self.dispatcher.events.summary()}")
-        log_internal(f"rules seen broken: {sum(self.dispatcher.monitor.violations.values())}")
+    def _close(self, tasks: list[asyncio.Task[None]]) -> None:
+        """Cancels the standing tasks, and closes what both processes of a node share."""
+        for task in tasks:
+            task.cancel()
+        self.hot_restart.close()
+        self.management.close()
+
+
+def _log_loop_exception(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    log_exception(context.get("message", "running"), context.get("exception") or RuntimeError("unknown"))
+
+
+def _steer_to_second_listener(listener: socket.socket) -> None:
+    """Sends new connections to the second listener of the port: the process of the first one hangs."""
+    try:
+        always_return(listener, SO_ATTACH_REUSEPORT_CBPF, SECOND_LISTENER)
+    except OSError as problem:
+        log_exception("steering new connections", problem)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,7 +10,7 @@
 
 from firwalk.dispatcher.actions import CloseIdleConnections, SendAttempt
 from firwalk.dispatcher.maintenance import Maintenance
-from firwalk.net.management import LEAST, places
+from firwalk.net.management import MIN_CALLERS, max_callers
 from firwalk.policy.interface import EndpointState, Outcome
 
 COLD = {"guarantees": {"cold-us": 3000000, "cold-from": 0.2, "fall-multiple": 2.5, "tip-after-us": 2000000}}
@@ -190,7 +190,7 @@
         for _, writer in idle:
             writer.close()
 
-    assert places(64) == LEAST
+    assert max_callers(64) == MIN_CALLERS
     play(story, managed=True, limits={"sockets": 64})
 
 
