--- a/firwalk/__main__.py
+++ b/firwalk/__main__.py
@@ -56,7 +56,7 @@
     """At SIGHUP, or because the other process of this node was `told` so: whichever of two gets the signal,
     both read their file."""
     if not told:
-        service.succession.pass_on_reload()
+        service.hot_restart.pass_on_reload()
     _take_over(service, path, operations, monotonic() + RELOAD_PATIENCE_S)
 
 
@@ -96,10 +96,10 @@
     try:
         service = Service(await retry_while_transient(lambda: _load(path), RESOURCE_ERRNOS, lambda: False))
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, service.stop.request)
+            loop.add_signal_handler(number, service.shutdown.request)
         service.reread = lambda: _reload(service, path, True, operations)
         loop.add_signal_handler(signal.SIGHUP, _reload, service, path, False, operations)
-        loop.add_signal_handler(signal.SIGUSR1, service.tell_counts)
+        loop.add_signal_handler(signal.SIGUSR1, service.log_counts)
         _stream_events(service, os.environ.get("FIRWALK_EVENTS"))
         if early_signals.take(signal.SIGHUP):
             loop.call_soon(_reload, service, path, False, operations)
--- a/firwalk/net/control_channel.py
+++ b/firwalk/net/control_channel.py
@@ -18,16 +18,15 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 from zlib import crc32
 
 import orjson
 
 from firwalk.net.errors import RESOURCE_ERRNOS, Backoff
-from firwalk.net.filters import SO_ATTACH_REUSEPORT_CBPF, always_return
 from firwalk.net.restart_messages import PROTOCOL_VERSION, WireObject
 from firwalk.net.waiting import wait_readable
-from firwalk.observability.log import log_exception, log_external
+from firwalk.observability.log import log_external
 
 RETRY_INTERVAL_S = 0.1
 REPLY_TIMEOUT_S = 0.5
@@ -49,11 +48,14 @@
     """The node's state file cannot be used."""
 
 
-class OutgoingLine(NamedTuple):
+class OutgoingLine:
     """Bytes still to be sent, and the descriptors to send beside the first of them."""
 
-    data: bytes
-    descriptors: list[socket.socket]
+    __slots__ = ("data", "descriptors")
+
+    def __init__(self, data: bytes, descriptors: list[socket.socket]) -> None:
+        self.data = data
+        self.descriptors = descriptors
 
 
 class ControlChannel:
@@ -372,11 +374,3 @@
 
 def _log_unreachable(problem: OSError) -> None:
     log_external(f"no process can take over from this one: {problem}")
-
-
-def steer(listener: socket.socket) -> None:
-    """Sends all new connections to the second listener of the group: the first one's process hangs."""
-    try:
-        always_return(listener, SO_ATTACH_REUSEPORT_CBPF, 1)
-    except OSError as problem:
-        log_exception("steering new connections", problem)
