--- a/firwalk/dispatcher/dispatcher.py
+++ b/firwalk/dispatcher/dispatcher.py
@@ -47,7 +47,7 @@
         self.kinds = {name: number for number, name in enumerate(settings.get("kinds", []))}
         # A health check may wait in the executor's queue: it gets twice the time of a connect.
         connect_timeout_us = settings.get("limits", {}).get("connect-timeout-us", 0)
-        self.probe_time = 2e-6 * connect_timeout_us or DEFAULT_HEALTH_CHECK_TIMEOUT_S
+        self.health_check_timeout_s = 2e-6 * connect_timeout_us or DEFAULT_HEALTH_CHECK_TIMEOUT_S
         self.policy = build_policy(self, seed, settings, clock())
         self.endpoint_list = EndpointList(self.policy, self.zones, self.kinds, self.close_idle_connections)
         self.executors = self.endpoint_list.executors
@@ -269,14 +269,14 @@
 
     # -- executors -------------------------------------------------------------------------------------
 
-    def report_idle(self, place: Endpoint, count: int) -> None:
+    def report_idle(self, endpoint: Endpoint, count: int) -> None:
         """How many open connections to the executor carry no request."""
-        self.policy.idle_connections_counted(self.executors[place.name], count)
+        self.policy.idle_connections_counted(self.executors[endpoint.name], count)
 
-    def report_probe(self, place: Endpoint, outcome: Outcome, duration_s: float, load: object) -> None:
+    def report_probe(self, endpoint: Endpoint, outcome: Outcome, duration_s: float, load: object) -> None:
         """How a health check ended, after how many seconds, and the executor's load report."""
         now = self.clock()
-        executor = self.executors[place.name]
+        executor = self.executors[endpoint.name]
         if self.health_observer is not None:
             is_unreached = outcome not in (Outcome.COMPLETED, Outcome.AT_CAPACITY)
             zone = zone_view.zone_number(self.policy, executor)
@@ -347,12 +347,12 @@
 
     # -- maintenance -----------------------------------------------------------------------------------
 
-    def detach_executor(self, name: str, sure: bool = False) -> bool:
+    def detach_executor(self, name: str, is_known: bool = False) -> bool:
         """Takes an executor out of use by an operator's command: to the policy it drains.
 
-        False where nobody knows it; `sure`: another process of this node does.
+        False where nobody knows it; `is_known`: another process of this node does.
         """
-        if not (sure or self.maintenance.knows(name)):
+        if not (is_known or self.maintenance.knows(name)):
             return False
         now = self.clock()
         self.maintenance.detach(name, now)
@@ -361,7 +361,7 @@
             return True
         self._apply_maintenance(now, executor)
         self.close_idle_connections(executor)  # the executor's restart would end them under a request
-        if self.policy.tells_start:
+        if self.policy.config.reports_starts:
             self._give_up_waiting(now, executor)
         self._settle(now)
         return True
@@ -373,9 +373,9 @@
             if attempt.executor is executor and attempt.is_in_flight:
                 self.policy.attempt_overdue(now, attempt)
 
-    def attach_executor(self, name: str, sure: bool = False) -> bool:
+    def attach_executor(self, name: str, is_known: bool = False) -> bool:
         """Takes an executor back into use; it warms up even if the list has not noticed a restart."""
-        if not (sure or self.maintenance.knows(name)):
+        if not (is_known or self.maintenance.knows(name)):
             return False
         now = self.clock()
         executor = self.executors.get(name)
@@ -394,6 +394,6 @@
         if self.endpoint_list.apply_maintenance(now, executor):
             self._settle(now)
 
-    def keeps_connections_to(self, place: Endpoint) -> bool:
+    def keeps_connections_to(self, endpoint: Endpoint) -> bool:
         """Whether connections to it are worth keeping: those to a detached one end with its restart."""
-        return place.name not in self.maintenance.detached
+        return endpoint.name not in self.maintenance.detached
--- a/firwalk/dispatcher/policy_host.py
+++ b/firwalk/dispatcher/policy_host.py
@@ -72,7 +72,7 @@
         self.background_actions: list[BackgroundAction] = []
         self.cancelled_attempts: list[Attempt] = []
         self.open_requests: dict[PendingRequest, None] = {}
-        self.probe_time = 0.0  # seconds that a health check may take
+        self.health_check_timeout_s = 0.0  # seconds that a health check may take
         self.health_observer: HealthObserver | None = None  # set where the cluster decides on zones
         self.rollout_counters: RolloutCounters | None = None  # set where the cluster decides on rollouts
         self.cluster_admission: Callable[[Request], float] | None = None
@@ -224,7 +224,7 @@
 
     def check_health(self, executor: Executor) -> None:
         """Asks an executor for its load report."""
-        self.background_actions.append(CheckHealth(executor.ref, self.probe_time))
+        self.background_actions.append(CheckHealth(executor.ref, self.health_check_timeout_s))
 
     def close_idle_connections(self, executor: Executor) -> None:
         """Closes the connections to an executor that carry no request."""
--- a/firwalk/policy/candidates.py
+++ b/firwalk/policy/candidates.py
@@ -20,7 +20,7 @@
 LARGE = 256  # executors up to which a choice looks at all
 NEAR_LOOKS = 96  # executors without own work or connections, in the own zone
 FAR_LOOKS = 32  # the same, in other zones
-COLD_LOOKS = 64  # executors in slow start
+SLOW_START_LOOKS = 64  # executors in slow start
 MAX_SINGLE_CHANGES = 32  # executors that came or went; with more the lists are rebuilt
 
 
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.active: dict[Executor, None] = {}
-        self.cold: dict[Executor, None] = {}
+        self.warming_up: dict[Executor, None] = {}
         self.near: list[Executor] = []
         self.far: list[Executor] = []
         self.ring: list[tuple[int, int, Executor]] = []  # all, by their marks
@@ -71,7 +71,7 @@
 
     def mark_slow_start(self, executor: Executor) -> None:
         """The executor is in slow start from now on."""
-        self.cold[executor] = None
+        self.warming_up[executor] = None
 
     def _active(self) -> list[Executor]:
         """Ready executors with own work or connections; drops those that have neither any more."""
@@ -89,9 +89,9 @@
 
     def in_slow_start(self, now: float, draw: float) -> list[Executor]:
         """Some of the executors in slow start."""
-        for executor in [one for one in self.cold if one.slow_start_until <= now]:
-            del self.cold[executor]
-        return _window(list(self.cold), draw, COLD_LOOKS)
+        for executor in [one for one in self.warming_up if one.slow_start_until <= now]:
+            del self.warming_up[executor]
+        return _window(list(self.warming_up), draw, SLOW_START_LOOKS)
 
     def poll_targets(self, among: list[Executor], start: int, count: int) -> list[Executor]:
         """Some executors with connections, in turn: a poll of any other would open a connection."""
--- a/firwalk/policy/executor.py
+++ b/firwalk/policy/executor.py
@@ -27,7 +27,7 @@
         self.lag = 0.0  # seconds
         self.lag_at = 0.0
         self.mean = 0.0  # load by others for each slot
-        self.missed: list[Executor] = []  # connections failed since one last succeeded
+        self.unreachable: list[Executor] = []  # connections failed since one last succeeded
         self.unavailable_until = 0.0
 
     def lag_now(self, now: float) -> float:
@@ -59,20 +59,22 @@
 class Executor(SpeedEstimate):
     """An executor: its state by the endpoint list, own outstanding work, and the load by others."""
 
-    def __init__(self, ref: Any, kind: int, zone: Zone, cell: int, speed: float, draw: float) -> None:
+    def __init__(
+        self, ref: Any, kind: int, zone: Zone, cell: int, speed: float, slow_start_offset: float
+    ) -> None:
         super().__init__(speed)
         self.ref = ref  # the host's own object
         self.kind = kind
         self.zone = zone
         self.cell = cell
-        self.draw = draw  # decides which requests it gets in slow start
+        self.slow_start_offset = slow_start_offset  # decides which requests it gets in slow start
         self.name_hash = 0  # its place in the hashing of keys
         self.size = 1.0
         self.condition = EndpointState.REMOVED
         self.started_at = 0.0
         self.slow_start_until = 0.0  # end of its slow start
-        self.unused = False  # nothing was sent since it came up
-        self.sent_cold: deque[tuple[float, float]] = deque(maxlen=MAX_SLOW_START_SENDS)  # when, work
+        self.is_unused = False  # nothing was sent since it came up
+        self.slow_start_sends: deque[tuple[float, float]] = deque(maxlen=MAX_SLOW_START_SENDS)  # when, work
         self.work = 0.0  # sum of own outstanding estimates, in seconds
         self.in_flight_slots = 0.0  # slots of own attempts in flight
         self.slots_of_others = 0.0  # slots that others use
--- a/firwalk/policy/executor_set.py
+++ b/firwalk/policy/executor_set.py
@@ -33,8 +33,10 @@
         """Add an executor with the mean speed of its kind, or of all, or 1; one slot if no size is listed."""
         known = [estimate.speed for estimate in self.kinds.values() if estimate.sample_count] or [1.0]
         of_kind = self.kinds.setdefault(kind, SpeedEstimate(sum(known) / len(known)))
-        draw = len(self.executors) * GOLDEN_RATIO % 1.0
-        executor = Executor(ref, kind, self.zones.setdefault(zone, Zone()), cell, of_kind.speed, draw)
+        slow_start_offset = len(self.executors) * GOLDEN_RATIO % 1.0
+        executor = Executor(
+            ref, kind, self.zones.setdefault(zone, Zone()), cell, of_kind.speed, slow_start_offset
+        )
         executor.slots = max(of_kind.slots, round(size) if self.config.has_sizes else 1.0)
         executor.name_hash = name_hash
         executor.size = size if self.config.has_sizes else 1.0
@@ -50,12 +52,12 @@
         if condition is EndpointState.READY and started_at > executor.started_at:
             executor.started_at = started_at
             executor.slow_start_until = started_at + self.config.slow_start_s
-            executor.unused = True
+            executor.is_unused = True
             executor.slots_of_others = 0.0
             executor.errors = 0.0
             executor.strikes = 0
             executor.ejected_until = 0.0
-            executor.sent_cold.clear()
+            executor.slow_start_sends.clear()
             self.candidates.mark_slow_start(executor)
 
     def apply_list(self) -> list[Executor] | None:
--- a/firwalk/policy/outlier_ejection.py
+++ b/firwalk/policy/outlier_ejection.py
@@ -57,11 +57,11 @@
         zone = executor.zone
         if outcome in ANSWERED:
             executor.idle += 1  # other outcomes close the connection
-            zone.missed.clear()
+            zone.unreachable.clear()
         elif outcome is Outcome.CONNECT_FAILED and zone is not self.executor_set.own_zone:
-            if executor not in zone.missed:
-                zone.missed.append(executor)
-            if len(zone.missed) >= UNREACHABLE_EXECUTORS:
+            if executor not in zone.unreachable:
+                zone.unreachable.append(executor)
+            if len(zone.unreachable) >= UNREACHABLE_EXECUTORS:
                 zone.unavailable_until = max(self._ejection_end(now), zone.unavailable_until)
 
     def record_poll(self, now: float, executor: Executor, outcome: Outcome) -> None:
--- a/firwalk/policy/policy.py
+++ b/firwalk/policy/policy.py
@@ -36,8 +36,6 @@
     def __init__(self, host: Host, seed: int, now: float, config: PolicyConfig, limits: PolicyLimits) -> None:
         self.host = host
         self.config = config
-        self.copies = config.allows_hedging
-        self.tells_start = config.reports_starts
         self.random = RandomSource(seed)
         self.executor_set = ExecutorSet(config, self.random)
         self.slow_start = SlowStart(config, now)
@@ -165,7 +163,7 @@
             if e.slow_start_until > now
             and not e.in_flight_slots
             and e.condition is EndpointState.READY
-            and (e.unused or e.zone is executor_set.own_zone)
+            and (e.is_unused or e.zone is executor_set.own_zone)
             and self.slow_start.has_capacity(now, e, request)
         ]
         return self.selection.choose(now, request, eligible) if eligible else None
@@ -187,7 +185,7 @@
         request.attempts.append(attempt)
         executor.idle = max(executor.idle - 1, 0)
         if is_warming_up:
-            executor.sent_cold.append((now, request.work))
+            executor.slow_start_sends.append((now, request.work))
         self.host.send(request, executor, 0.0)
         self.attempt_resumed(now, attempt)
         return True
--- a/firwalk/policy/selection.py
+++ b/firwalk/policy/selection.py
@@ -89,7 +89,7 @@
         request.in_flight += 1
         executor.in_flight_slots += request.slots
         executor.work += attempt.estimate
-        executor.unused = False
+        executor.is_unused = False
         self.executor_set.candidates.mark_active(executor)
         self.mean_cost = self.mean_cost or request.work
         self.mean_value = self.mean_value or request.value
--- a/firwalk/policy/slow_start.py
+++ b/firwalk/policy/slow_start.py
@@ -60,11 +60,11 @@
             or executor.in_flight_slots - own_slots + executor.slots_of_others >= executor.slots
         ):
             return False  # nor a queue: it may be slower than it looks
-        sent = sum(work for at, work in executor.sent_cold if at > now - config.slow_start_window_s)
+        sent = sum(work for at, work in executor.slow_start_sends if at > now - config.slow_start_window_s)
         if sent and sent >= allowed / config.node_count:
             return False
-        if executor.unused and request.work * config.node_count <= FIRST_REQUESTS * HEAVY_SHARE * allowed:
+        if executor.is_unused and request.work * config.node_count <= FIRST_REQUESTS * HEAVY_SHARE * allowed:
             return True
         part = min(SHARE_OF_ALL * config.slow_start_multiple, 1.0) * bears
         all_offered = self.record_arrival(now, 0.0) * config.node_count / OVERLOAD
-        return (request.draw + executor.draw) % 1.0 < part / max(self.capacity, all_offered)
+        return (request.draw + executor.slow_start_offset) % 1.0 < part / max(self.capacity, all_offered)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -576,7 +576,7 @@
                 break
             f.end(request, Outcome.COMPLETED)
     assert len(needed) == 30 and max(needed) == 0
-    assert not f.executors["back"].unused  # and the next one is drawn for again
+    assert not f.executors["back"].is_unused  # and the next one is drawn for again
 
 
 def test_rule_4_at_many_nodes_first_tasks_wait_for_their_draw():
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -159,7 +159,7 @@
         elif kind.idempotency is Idempotency.IDEMPOTENT:
             assert len(again) == 1 and again[0] is not first
         assert len(pending.request.attempts) <= site["allow"]["max_attempts"]
-    assert dispatcher.policy.copies == site["allow"]["second_copies"]
+    assert dispatcher.policy.config.allows_hedging == site["allow"]["second_copies"]
     advice = site["clients"]["max_retry_after_ms"] / 1e3 if site["allow"]["retry_after"] else 0.0
     assert dispatcher.policy.max_retry_after == pytest.approx(advice)
 
