--- a/firwalk/wirehost/codec.py
+++ b/firwalk/wirehost/codec.py
@@ -1,7 +1,7 @@
-"""The binary frames of the bench's wire (maple-1b66): precompiled structs and codes, nothing else.
+"""The binary frames of the simulator's wire (maple-1b66): precompiled structs and codes.
 
-A record is a u8 code followed by fixed fields and, for some codes, counted content. `EVENTS` gives the
-fixed part of each event; the loop reads counted content right behind it.
+Records have the names of the wire's description. Each is a u8 code followed by fixed fields and, for some
+codes, counted content. `EVENTS` gives the fixed part of each event; its content comes right behind it.
 """
 
 from __future__ import annotations
@@ -10,44 +10,61 @@
 
 from firwalk.policy.interface import EndpointState, Outcome
 
+# -- batches and replies ---------------------------------------------------------------------------------
+
 BATCH = Struct("<IIIQ")  # number, size of what follows the size field, records, clock
-REPLY = Struct("<III")
+REPLY = Struct("<III")  # number, size of what follows the size field, records
 AFTER_SIZE = 8  # bytes of a header up to and including the size field
 
+# -- events, from the simulator --------------------------------------------------------------------------
+
 ESTABLISHED, DOWN, DROPPED, HINT, SHEET, TARGETS = 10, 20, 30, 40, 50, 60
 SAID, TIMER, INIT, PINGED, ITEM, RESPONSE = 70, 80, 90, 100, 110, 120
 
 EVENTS = {
-    ESTABLISHED: Struct("<xIQB6sI"),
-    DOWN: Struct("<xI"),
-    DROPPED: Struct("<xIQ"),
-    HINT: Struct("<xIQ6sfBB"),
-    SHEET: Struct("<xBI"),
-    TARGETS: Struct("<xIBIB"),
-    SAID: Struct("<xIHH"),
-    TIMER: Struct("<xIQ"),
-    INIT: Struct("<xIQI"),
-    PINGED: Struct("<xI6sHIB"),
-    ITEM: Struct("<xIQHIQIIffB"),
-    RESPONSE: Struct("<xIQ6sIBBBHB"),
+    ESTABLISHED: Struct("<xIQB6sI"),  # node, request, attempt, executor, ...
+    DOWN: Struct("<xI"),  # node
+    DROPPED: Struct("<xIQ"),  # node, request
+    HINT: Struct("<xIQ6sfBB"),  # node, request, executor, ..., progress, attempt
+    SHEET: Struct("<xBI"),  # list, entries; followed by the entries
+    TARGETS: Struct("<xIBIB"),  # node, scope, ..., list
+    SAID: Struct("<xIHH"),  # node, peer, bytes; followed by what the peer sent
+    TIMER: Struct("<xIQ"),  # node, timer
+    INIT: Struct("<xIQI"),  # node, seed, bytes; followed by the settings as JSON
+    PINGED: Struct("<xI6sHIB"),  # node, executor, outcome, us, floats; followed by the load report
+    ITEM: Struct(
+        "<xIQHIQIIffB"
+    ),  # node, request, class, tenant, key, budget us, cost us, slots, memory, flags
+    RESPONSE: Struct("<xIQ6sIBBBHB"),  # node, request, executor, us, ..., answered, attempt, outcome, floats
 }
 ENTRY = Struct("<BBBf6sQH")  # kind, zone, condition, weight, executor, came up, cell
-FLOATS = [Struct(f"<{n}f") for n in range(256)]
-
-HAND_OFF = Struct("<BIQ6sI")
-OVERLOAD_REPLY = Struct("<BIQI")
-GIVE_UP = Struct("<BIQ")
-CALL_OFF = Struct("<BIQB")
-DEFER = Struct("<BIQQ")
-PING = Struct("<BI6s")
-ANNOUNCE = Struct("<BIHH")
-TEXT = Struct("<BIH")
-WATCH = Struct("<BIB")
-QUERY_ALL = Struct("<BI")
+FLOATS = [Struct(f"<{count}f") for count in range(256)]
+FLOAT_SIZE = 4
+
+ITEM_HAS_COST, ITEM_IS_RETRY = 1, 2  # flags
+HINT_STARTED, HINT_RUNNING = 1, 2  # progress
+TARGETS_UPDATE, TARGETS_FAILED = 0, 3  # scope; the others are complete lists
+
+# -- actions, to the simulator ---------------------------------------------------------------------------
+
+HAND_OFF = Struct("<BIQ6sI")  # code, node, request, executor, timeout us
+OVERLOAD_REPLY = Struct("<BIQI")  # code, node, request, Retry-After us
+GIVE_UP = Struct("<BIQ")  # code, node, request
+CALL_OFF = Struct("<BIQB")  # code, node, request, attempt
+DEFER = Struct("<BIQQ")  # code, node, due us, timer
+PING = Struct("<BI6s")  # code, node, executor; DO_SHUT_IDLE has the same form
+ANNOUNCE = Struct("<BIHH")  # code, node, peer, bytes; followed by the content
+TEXT = Struct("<BIH")  # code, node, bytes; followed by the text
+WATCH = Struct("<BIB")  # code, node, whether it is on
+QUERY_ALL = Struct("<BI")  # code, node
 
 DO_HAND_OFF, DO_OVERLOAD_REPLY, DO_GIVE_UP, DO_CALL_OFF, DO_DEFER, DO_PING = 10, 20, 30, 40, 50, 60
 DO_SHUT_IDLE, DO_ANNOUNCE, DO_TRACE, DO_FATAL, DO_WATCH, DO_QUERY_ALL = 70, 80, 90, 100, 110, 120
 EVERY_PEER = 0xFFFF
+MAX_TEXT_SIZE = 0xFFFF
+MAX_MICROSECONDS = 0xFFFFFFFF
+
+# -- words -----------------------------------------------------------------------------------------------
 
 OUTCOMES = {
     0: Outcome.COMPLETED,
@@ -63,4 +80,4 @@
 
 
 class Malformed(Exception):
-    """A frame that does not follow the wire; says what and where."""
+    """A frame that does not follow the wire; the text says what and where."""
