--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -9,6 +9,7 @@
 from test_service import play
 
 from firwalk.net import http, listing
+from firwalk.observability import log
 from firwalk.policy.interface import EndpointState
 
 ENTRY = {
@@ -95,7 +96,10 @@
         listing.read(update)
 
 
-def test_thousands_of_bad_entries_are_told_in_one_line(capfd):
+def test_thousands_of_bad_entries_are_told_in_one_line(capfd, monkeypatch):
+    monkeypatch.setattr(
+        log, "_external_limiter", log._RateLimiter()
+    )  # else an earlier test's lines are counted
     bad = [ENTRY | {"hostPort": f"nowhere-{number}"} for number in range(3000)]
     assert read(*bad, ENTRY, *bad).entries == [READ]
     said = capfd.readouterr().err.splitlines()
