--- a/firwalk/wirehost/node.py
+++ b/firwalk/wirehost/node.py
@@ -195,7 +195,7 @@
         if scope != codec.TARGETS_UPDATE:
             for address, executor in self.executors.items():
                 if address not in named:
-                    self.policy.endpoint_changed(now, executor, EndpointState.REMOVED, executor.came_up)
+                    self.policy.endpoint_changed(now, executor, EndpointState.REMOVED, executor.started_at)
         self.policy.endpoint_list_received(now)
 
     def _apply_entries(self, now: float, entries: list[Fields]) -> set[bytes]:
