--- a/firwalk/__main__.py
+++ b/firwalk/__main__.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
+import gc
+
 from firwalk import early_signals
 
 if __name__ == "__main__":  # before all that takes a while to load
     early_signals.hold()
+    gc.disable()  # until all is loaded: modules leave nothing to collect
 
 import asyncio
-import gc
 import os
 import signal
 import sys
@@ -202,6 +204,7 @@
 
 def main() -> int:
     """The program; returns its exit status."""
+    gc.enable()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # unhandled it would end a process that still starts
     config = os.environ.get(CONFIG_VARIABLE, "")
     operations = os.environ.get(OPERATIONS_VARIABLE, "")
