--- a/firwalk/net/restart_context.py
+++ b/firwalk/net/restart_context.py
@@ -30,7 +30,6 @@
     budget: Budget
     reread: Callable[[], None]
     files: int
-    managed: bool
     opened_at: float
 
     def shared(self) -> list[socket.socket]:
